--- a/tests/system/fleet.py
+++ b/tests/system/fleet.py
@@ -66,6 +66,7 @@
     platform_max_lag: str = "400ms"
     beat_interval: str = "500ms"
     link_mbps: float = 1000.0  # of a gateway's machine
+    other_program: list = field(default_factory=list)  # another build, which runs in turn with `program`; none if empty
 
 
 def default_bounds():
@@ -162,15 +163,22 @@
         """The code it ended with (negative: the signal), or None."""
         return None if self._process is None else self._process.returncode
 
+    def _command(self):
+        """The build that runs next: where there are two, neighbouring machines and restarts alternate."""
+        plan = self.fleet.plan
+        builds = [plan.program, plan.other_program or plan.program]
+        return builds[(plan.machines.index(self.machine) + self.lives) % 2]
+
     async def start(self):
         """Begins a life; only the first one is told that the system boots."""
         settings = self.fleet.write_settings(self.machine, bootstrap=self.lives == 0)
+        command = self._command()
         environment = {"PATH": os.environ["PATH"], "HOME": str(self.fleet.folder), "LANG": "C.UTF-8"}
         environment["DEWWEIR_CONFIG"] = str(settings)
         self.lives += 1
         with open(self.fleet.folder / f"{self.machine.name}.log", "ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                *self.fleet.plan.program,
+                *command,
                 self.machine.role,
                 env=environment,
                 stdin=asyncio.subprocess.DEVNULL,
--- a/tests/system/world.py
+++ b/tests/system/world.py
@@ -80,6 +80,7 @@
     link_mbps: float = 1000.0
     platform: dict = field(default_factory=dict)  # figures of the platform's plan
     gateway_zones: list = field(default_factory=lambda: list(GATEWAY_ZONES))
+    other_program: list = field(default_factory=list)  # another build, which runs in turn with the first
 
 
 class World:
@@ -98,6 +99,7 @@
         self.platform = Platform(PlatformPlan(wire.Address(PLATFORM_IP, ports.front), **plan.platform), self.hosts)
         fleet_plan = FleetPlan(program, machines, ZONES, self.platform.plan.address, ports, plan.bounds)
         fleet_plan.link_mbps = plan.link_mbps
+        fleet_plan.other_program = plan.other_program
         self.fleet = Fleet(fleet_plan, self.ledger)
         controls = [process.control for process in self.fleet.control_planes]
         self.operator = Operator(self.ledger, controls, OPERATOR_SEED)
