--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -1,4 +1,5 @@
-// Elections (thesis 3.4, 3.6.1), pre-votes (9.6) and voters that hear a leader (4.2.3).
+// Elections (thesis 3.4, 3.6.1), pre-votes (9.6), and voters that ignore candidates while their leader is
+// live (4.2.3).
 #include "consensus/raft.h"
 
 namespace dewweir::consensus {
@@ -18,8 +19,9 @@
     }
 }
 
-// Requests wait for the own vote and for the log that they claim to be synced: an election by a replica that
-// then forgets what it said could be won twice, or with a log it no longer has.
+// Vote requests are held until the candidate's own vote, and the log that the requests describe, are synced.
+// A replica that lost them in a restart could otherwise win the same term twice, or win with a log that it no
+// longer has.
 void Raft::start_election(bool leadership_transfer) {
     become_follower(term_);
     set_term(term_ + 1);
@@ -46,9 +48,9 @@
     start_heartbeat_round();
 }
 
-bool Raft::hears_leader() const {
+bool Raft::has_live_leader() const {
     if (role_ == Role::leader) return true;
-    return leader_ && now_ - leader_heard_at_ < timer_.shortest();
+    return leader_ && now_ - last_leader_contact_ < timer_.minimum_timeout();
 }
 
 bool Raft::has_vote_majority() const {
@@ -62,11 +64,12 @@
 }
 
 void Raft::on(const Replica& from, const PreVoteRequest& request) {
-    // A replica that was put out needs no other answer: one whose log is up to date knows of that and does
-    // not ask. It may also have been taken in again by entries that have not come here yet.
+    // Removed replicas are not rejected as such. One whose log is up to date knows of its removal and does
+    // not campaign, and one that campaigns may have been added again by entries that have not arrived here
+    // yet.
     const bool newer = request.campaign_term > term_;
     const bool up_to_date = is_up_to_date(request.last_index, request.last_term);
-    const bool granted = newer && up_to_date && !hears_leader();
+    const bool granted = newer && up_to_date && !has_live_leader();
     send(from, PreVoteResponse{term_, request.campaign_term, granted});
 }
 
@@ -83,12 +86,12 @@
 }
 
 void Raft::on(const Replica& from, const VoteRequest& request) {
-    const bool disturbs = request.term > term_ && hears_leader() && !request.leadership_transfer;
+    const bool disturbs = request.term > term_ && has_live_leader() && !request.leadership_transfer;
     if (disturbs) return;
     if (request.term > term_) become_follower(request.term);
     const bool current = request.term == term_;
-    const bool free = vote_ == from.id || (vote_ == 0 && !leader_);
-    if (!current || !free || !is_up_to_date(request.last_index, request.last_term)) {
+    const bool may_vote = vote_ == from.id || (vote_ == 0 && !leader_);
+    if (!current || !may_vote || !is_up_to_date(request.last_index, request.last_term)) {
         send(from, VoteResponse{term_, false});
         return;
     }
--- a/src/consensus/election_timer.h
+++ b/src/consensus/election_timer.h
@@ -1,4 +1,5 @@
-// When a replica that hears no leader stands for election: a random time in ratio to the widest round trip.
+// Randomized election timeout: the time without a leader after which a replica campaigns, proportional to the
+// longest round trip in the group.
 #pragma once
 
 #include <cstdint>
@@ -9,21 +10,23 @@
 
 class ElectionTimer {
   public:
+    // The same `seed` yields the same timeouts.
     ElectionTimer(const Options& options, std::uint64_t seed);
 
-    void set_widest_round_trip(microseconds round_trip) { widest_round_trip_ = round_trip; }
-    microseconds widest_round_trip() const { return widest_round_trip_; }
+    void set_max_round_trip(microseconds round_trip) { max_round_trip_ = round_trip; }
+    microseconds max_round_trip() const { return max_round_trip_; }
 
-    // The shortest time-out: the time for which a leader counts as heard.
-    microseconds shortest() const;
+    // The minimum election timeout; also the time since its last message for which a leader, or for the
+    // leader a follower, counts as live.
+    microseconds minimum_timeout() const;
 
-    // The first time-out after a start, shorter than later ones: where a leader lives, its voters refuse the
-    // pre-vote.
+    // Starts the first timeout after a process start. It is shorter than later ones, which is harmless: if
+    // the group has a leader, its voters reject the pre-vote.
     void start(TimePoint now);
-    // Draws a time-out in [shortest, 2 x shortest) and counts it from `now`.
+    // Starts a timeout drawn from [minimum_timeout, 2 x minimum_timeout).
     void restart(TimePoint now);
-    // Puts the deadline off by `pause` more.
-    void postpone(microseconds pause) { deadline_ += pause; }
+    // Moves the deadline back by `delay`.
+    void postpone(microseconds delay) { deadline_ += delay; }
     TimePoint deadline() const { return deadline_; }
 
   private:
@@ -31,7 +34,7 @@
 
     Options options_;
     std::uint64_t random_state_;
-    microseconds widest_round_trip_{0};
+    microseconds max_round_trip_{0};
     TimePoint deadline_{};
 };
 
--- a/src/consensus/leaving.cpp
+++ b/src/consensus/leaving.cpp
@@ -1,5 +1,5 @@
-// A replica that ends as planned: it hands leadership over and goes when the group does without it, so that
-// it is never the only one that holds what was acknowledged.
+// Planned shutdown of a replica: it transfers leadership away, and leaves once the group can do without it,
+// so that it never takes the only copy of an acknowledged entry with it.
 #include <algorithm>
 
 #include "consensus/raft.h"
@@ -16,47 +16,49 @@
 }
 
 bool Raft::may_leave() const {
-    if (!options_.guards.ask_before_leaving) return true;
+    if (!options_.guards.confirm_before_leaving) return true;
     const Membership& membership = log_.membership();
     const bool alone = membership.voters.size() == 1 && find_voter(membership, self_.id);
     return may_leave_ || alone || !is_member(membership, self_.id);
 }
 
-// Whether others that were just heard make up a majority and have all that is committed.
-bool Raft::majority_without(ReplicaId leaver) const {
+// Whether a majority without `leaver` consists of live replicas that hold all committed entries on disk.
+bool Raft::majority_up_to_date_without(ReplicaId leaver) const {
     auto holds_all = [this, leaver](ReplicaId id) {
         if (id == leaver) return false;
         if (id == self_.id) return writes_.stable_index() >= commit_;
         const auto found = progress_.find(id);
         if (found == progress_.end()) return false;
-        return found->second.heard_within(timer_.shortest(), now_) && found->second.match() >= commit_;
+        return found->second.contacted_within(timer_.minimum_timeout(), now_) &&
+               found->second.match() >= commit_;
     };
     return has_majority(log_.membership(), holds_all);
 }
 
-bool Raft::does_without(ReplicaId leaver) const {
+// Whether `leaver` may leave now.
+bool Raft::can_release(ReplicaId leaver) const {
     const Membership& membership = log_.membership();
     if (!is_member(membership, leaver)) return true;
-    // A substitute on its way takes the leaver's place first, and a surplus voter is removed.
-    const bool changes = !membership.learners.empty() || !membership.outgoing.empty() ||
-                         membership.voters.size() > wanted_voters(membership);
-    return !changes && has_committed_in_term() && majority_without(leaver);
+    // A pending change comes first: a learner may replace the leaver, and a surplus voter is removed.
+    const bool change_pending = !membership.learners.empty() || !membership.outgoing.empty() ||
+                                membership.voters.size() > target_voter_count(membership);
+    return !change_pending && has_committed_in_term() && majority_up_to_date_without(leaver);
 }
 
 void Raft::on(const Replica& from, const LeaveRequest& request) {
     Progress* const progress = progress_of(from, request.term);
     if (!progress) {
-        // Of one that is no member any more, whose term may be an earlier one.
+        // The sender may have been removed, and its term may be an earlier one.
         const bool removed = role_ == Role::leader && !is_member(log_.membership(), from.id);
         if (removed) send(from, LeaveResponse{term_, true});
         return;
     }
-    progress->asked_to_leave(now_);
-    send(from, LeaveResponse{term_, does_without(from.id)});
+    progress->record_leave_request(now_);
+    send(from, LeaveResponse{term_, can_release(from.id)});
 }
 
 void Raft::on(const Replica&, const LeaveResponse& response) {
-    if (response.may_go) may_leave_ = true;
+    if (response.permitted) may_leave_ = true;
 }
 
 }  // namespace dewweir::consensus
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -51,7 +51,7 @@
 }
 
 void Log::append(Entry entry) {
-    note_membership(entry);
+    record_membership(entry);
     entries_.push_back(std::move(entry));
 }
 
@@ -66,14 +66,14 @@
     snapshot.term = *term_at(index);
     snapshot.membership = membership_at(index);
     snapshot.data = std::move(data);
-    drop_through(index);
+    discard_through(index);
     snapshot_ = std::make_shared<const Snapshot>(std::move(snapshot));
 }
 
 bool Log::restore(std::shared_ptr<const Snapshot> snapshot) {
     const bool keeps_entries = matches(snapshot->index, snapshot->term);
     if (keeps_entries) {
-        drop_through(snapshot->index);
+        discard_through(snapshot->index);
         snapshot_ = std::move(snapshot);
         return true;
     }
@@ -91,13 +91,14 @@
     return found->membership;
 }
 
-void Log::note_membership(const Entry& entry) {
+void Log::record_membership(const Entry& entry) {
     if (entry.kind != EntryKind::membership) return;
     memberships_.push_back({entry.index, entry.membership});
 }
 
-// Drops entries and memberships that a snapshot at `index` covers; the membership there becomes the first.
-void Log::drop_through(Index index) {
+// Removes the entries and memberships that a snapshot at `index` covers. The membership in force there
+// becomes the first one.
+void Log::discard_through(Index index) {
     const auto count = static_cast<std::ptrdiff_t>(index - snapshot_->index);
     Membership at_index = membership_at(index);
     entries_.erase(entries_.begin(), entries_.begin() + count);
--- a/src/consensus/log.h
+++ b/src/consensus/log.h
@@ -1,4 +1,4 @@
-// The replicated log in memory: a snapshot, the entries after it and the memberships they contain.
+// The replicated log in memory: a snapshot, the entries after it and the memberships found in them.
 #pragma once
 
 #include <cstddef>
@@ -13,36 +13,42 @@
 
 class Log {
   public:
-    // Entries that the snapshot covers are left out; so are entries that cannot follow it (the machine
-    // stopped between the writes of a received snapshot and of the removal of the log before it).
+    // Skips entries that the snapshot covers and entries that cannot follow it. The latter are on disk if the
+    // machine stopped between writing a received snapshot and removing the older log.
     Log(std::optional<Snapshot> snapshot, std::vector<Entry> entries);
 
     Index snapshot_index() const { return snapshot_->index; }
+    // The snapshot's index if no entries follow it.
     Index last_index() const { return snapshot_->index + entries_.size(); }
     Term last_term() const;
-    // The term of the entry at `index`; none if it is not known here (compacted, or past the end).
+    // The term of the entry at `index`; none if the entry is compacted or past the end.
     std::optional<Term> term_at(Index index) const;
+    // Whether the entry at `index` is known and has this term.
     bool matches(Index index, Term term) const { return term_at(index) == term; }
-    const Entry& at(Index index) const;  // snapshot_index() < index <= last_index()
+    // Requires snapshot_index() < index <= last_index().
+    const Entry& at(Index index) const;
 
-    // Entries from `first` on, up to `max_bytes` of payload, at least one if there is one.
+    // Entries from `first` on, up to `max_bytes` of payload, but at least one if there is one.
     std::vector<Entry> slice(Index first, std::size_t max_bytes) const;
-    // Entries first..last.
+    // Entries `first` to `last`, both included.
     std::vector<Entry> range(Index first, Index last) const;
 
     void append(Entry entry);
+    // Removes the entries from `index` on.
     void truncate_from(Index index);
 
-    // Makes the state after `index` (an entry of this log) the start of the log.
+    // Replaces the log up to `index`, an entry of this log, by a snapshot with the given data.
     void compact(Index index, std::string data);
-    // Starts from a received snapshot. Keeps what follows it if this log has its last entry: returns whether
-    // it did.
+    // Restarts the log from a received snapshot. Keeps the entries after it, and returns true, if this log
+    // contains the snapshot's last entry.
     bool restore(std::shared_ptr<const Snapshot> snapshot);
     std::shared_ptr<const Snapshot> snapshot() const { return snapshot_; }
 
+    // The latest membership in the log, committed or not.
     const Membership& membership() const { return memberships_.back().membership; }
-    // Of the entry that brought the latest membership, or of the snapshot.
+    // Index of the entry, or of the snapshot, that contains the latest membership.
     Index membership_index() const { return memberships_.back().index; }
+    // The membership in force after the entry at `index`.
     const Membership& membership_at(Index index) const;
 
   private:
@@ -51,12 +57,12 @@
         Membership membership;
     };
 
-    void note_membership(const Entry& entry);
-    void drop_through(Index index);
+    void record_membership(const Entry& entry);
+    void discard_through(Index index);
 
     std::shared_ptr<const Snapshot> snapshot_;  // never null
-    std::vector<Entry> entries_;
-    std::vector<MembershipAt> memberships_;  // by index; the first is the snapshot's
+    std::vector<Entry> entries_;                // entry snapshot_index() + 1 first
+    std::vector<MembershipAt> memberships_;     // ordered by index; the first is the snapshot's
 };
 
 }  // namespace dewweir::consensus
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -5,7 +5,7 @@
 namespace dewweir::consensus {
 namespace {
 
-using Change = std::variant<Membership, Refusal>;
+using Change = std::variant<Membership, RefusalReason>;
 
 const Replica* find(const std::vector<Replica>& replicas, ReplicaId id) {
     for (const Replica& replica : replicas) {
@@ -21,31 +21,31 @@
 Change apply(Membership membership, const AddLearner& change) {
     const Replica& added = change.replica;
     if (find_voter(membership, added.id) || find_learner(membership, added.id))
-        return Refusal::already_member;
+        return RefusalReason::already_member;
     auto at_same_address = [&added](const Replica& other) { return other.address == added.address; };
     std::erase_if(membership.learners, at_same_address);
-    if (membership.learners.size() >= most_learners) return Refusal::too_many_members;
+    if (membership.learners.size() >= max_learners) return RefusalReason::too_many_members;
     membership.learners.push_back(added);
     return membership;
 }
 
 Change apply(Membership membership, const PromoteLearner& change) {
-    if (find_voter(membership, change.id)) return Refusal::already_member;
+    if (find_voter(membership, change.id)) return RefusalReason::already_member;
     const Replica* learner = find_learner(membership, change.id);
-    if (!learner) return Refusal::unknown_replica;
-    if (find_voter_at(membership, learner->address)) return Refusal::old_life_is_voter;
-    if (membership.voters.size() >= most_voters) return Refusal::too_many_members;
-    const std::size_t wanted = wanted_voters(membership);
+    if (!learner) return RefusalReason::unknown_replica;
+    if (find_voter_by_address(membership, learner->address)) return RefusalReason::voter_at_same_address;
+    if (membership.voters.size() >= max_voters) return RefusalReason::too_many_members;
+    const std::size_t target = target_voter_count(membership);
     membership.voters.push_back(*learner);
     erase(membership.learners, change.id);
-    membership.wanted_voters = static_cast<std::uint32_t>(wanted);
+    membership.target_voter_count = static_cast<std::uint32_t>(target);
     return membership;
 }
 
-Change apply(Membership membership, const ExchangeVoter& change) {
+Change apply(Membership membership, const ReplaceVoter& change) {
     const Replica* learner = find_learner(membership, change.learner);
-    if (!learner || !find_voter(membership, change.voter)) return Refusal::unknown_replica;
-    membership.wanted_voters = static_cast<std::uint32_t>(wanted_voters(membership));
+    if (!learner || !find_voter(membership, change.voter)) return RefusalReason::unknown_replica;
+    membership.target_voter_count = static_cast<std::uint32_t>(target_voter_count(membership));
     membership.outgoing = membership.voters;
     membership.voters.push_back(*learner);
     erase(membership.voters, change.voter);
@@ -53,22 +53,22 @@
     return membership;
 }
 
-Change apply(Membership membership, const AdoptSize&) {
-    membership.wanted_voters = static_cast<std::uint32_t>(largest_odd_size(membership));
+Change apply(Membership membership, const AdoptVoterCount&) {
+    membership.target_voter_count = static_cast<std::uint32_t>(largest_odd_size(membership));
     return membership;
 }
 
 Change apply(Membership membership, const LeaveJoint&) {
-    if (membership.outgoing.empty()) return Refusal::unknown_replica;
+    if (membership.outgoing.empty()) return RefusalReason::unknown_replica;
     membership.outgoing.clear();
     return membership;
 }
 
 Change apply(Membership membership, const RemoveReplica& change) {
     const bool is_voter = find_voter(membership, change.id) != nullptr;
-    if (!is_voter && !find_learner(membership, change.id)) return Refusal::unknown_replica;
-    if (is_voter && membership.voters.size() == 1) return Refusal::last_voter;
-    membership.wanted_voters = static_cast<std::uint32_t>(wanted_voters(membership));
+    if (!is_voter && !find_learner(membership, change.id)) return RefusalReason::unknown_replica;
+    if (is_voter && membership.voters.size() == 1) return RefusalReason::last_voter;
+    membership.target_voter_count = static_cast<std::uint32_t>(target_voter_count(membership));
     erase(membership.voters, change.id);
     erase(membership.learners, change.id);
     return membership;
@@ -91,9 +91,9 @@
 
 }  // namespace
 
-Change changed(const Membership& membership, const MembershipChange& change) {
-    const bool ends_exchange = std::holds_alternative<LeaveJoint>(change);
-    if (!membership.outgoing.empty() && !ends_exchange) return Refusal::exchange_pending;
+Change membership_after(const Membership& membership, const MembershipChange& change) {
+    const bool ends_joint = std::holds_alternative<LeaveJoint>(change);
+    if (!membership.outgoing.empty() && !ends_joint) return RefusalReason::joint_change_pending;
     return std::visit([&membership](const auto& one) { return apply(membership, one); }, change);
 }
 
@@ -103,7 +103,7 @@
     return find(membership.learners, id);
 }
 
-const Replica* find_voter_at(const Membership& membership, const std::string& address) {
+const Replica* find_voter_by_address(const Membership& membership, const std::string& address) {
     for (const Replica& replica : membership.voters) {
         if (replica.address == address) return &replica;
     }
@@ -129,8 +129,8 @@
     return members;
 }
 
-std::size_t wanted_voters(const Membership& membership) {
-    return membership.wanted_voters ? membership.wanted_voters : membership.voters.size();
+std::size_t target_voter_count(const Membership& membership) {
+    return membership.target_voter_count ? membership.target_voter_count : membership.voters.size();
 }
 
 std::size_t largest_odd_size(const Membership& membership) {
--- a/src/consensus/membership_policy.cpp
+++ b/src/consensus/membership_policy.cpp
@@ -5,9 +5,9 @@
 namespace dewweir::consensus {
 namespace {
 
-// A voter silent for so many times the span in which a live one is heard may be gone: no voter is added
-// beside it, since it may turn out to be the one that the newcomer replaces.
-constexpr int suspect_spans = 3;
+// A voter unresponsive for this many liveness timeouts is suspected to have failed. While there is one, no
+// voter is added, since the new one may be meant to replace it.
+constexpr int suspicion_timeouts = 3;
 
 const MemberState* find(const std::vector<MemberState>& members, ReplicaId id) {
     for (const MemberState& member : members) {
@@ -16,46 +16,51 @@
     return nullptr;
 }
 
-class Decision {
+// Chooses the next change from one view of the group.
+class MembershipPolicy {
   public:
-    Decision(const Membership& membership, const GroupState& group, const MembershipOptions& options)
+    MembershipPolicy(const Membership& membership, const GroupState& group, const MembershipOptions& options)
         : membership_(membership), group_(group), options_(options) {}
 
     std::optional<MembershipChange> next() const {
         if (!membership_.outgoing.empty()) return LeaveJoint{};
-        if (const MemberState* const lost = lost_learner()) return RemoveReplica{lost->id};
+        if (const MemberState* const lost = unresponsive_learner()) return RemoveReplica{lost->id};
         for (const Replica& learner : membership_.learners) {
             const MemberState* const state = find(group_.members, learner.id);
-            const bool ready = state && state->caught_up && state->silence < group_.heard_within;
+            const bool ready =
+                state && state->caught_up && state->time_since_contact < group_.liveness_timeout;
             if (!ready) continue;
-            if (const auto change = change_for(learner)) return change;
+            if (const auto change = promotion_change(learner)) return change;
         }
-        return surplus();
+        return surplus_change();
     }
 
   private:
-    std::optional<MembershipChange> change_for(const Replica& learner) const {
-        // The new life of a machine whose disk was lost: its earlier one never comes back.
-        const Replica* const old_life = find_voter_at(membership_, learner.address);
-        if (old_life) return ExchangeVoter{old_life->id, learner.id};
-        if (const MemberState* const leaver = leaving_voter()) return ExchangeVoter{leaver->id, learner.id};
-        if (const MemberState* const gone = gone_voter(options_.silence_before_exchange)) {
-            return ExchangeVoter{gone->id, learner.id};
+    // The change that makes a caught-up learner a voter; none while it has to wait.
+    std::optional<MembershipChange> promotion_change(const Replica& learner) const {
+        // The learner's machine has lost its disk; the replica it held before never returns.
+        const Replica* const previous_replica = find_voter_by_address(membership_, learner.address);
+        if (previous_replica) return ReplaceVoter{previous_replica->id, learner.id};
+        if (const MemberState* const leaver = leaving_voter()) return ReplaceVoter{leaver->id, learner.id};
+        if (const MemberState* const failed = failed_voter(options_.replace_voter_after)) {
+            return ReplaceVoter{failed->id, learner.id};
         }
-        const bool may_add = suspects().empty() && membership_.voters.size() < most_voters;
+        const bool may_add = suspected_voters().empty() && membership_.voters.size() < max_voters;
         if (may_add) return PromoteLearner{learner.id};
         return std::nullopt;
     }
 
-    std::optional<MembershipChange> surplus() const {
-        if (membership_.voters.size() <= wanted_voters(membership_)) return std::nullopt;
+    // The change that resolves a surplus of voters over the target; none if there is none or it has to wait.
+    std::optional<MembershipChange> surplus_change() const {
+        if (membership_.voters.size() <= target_voter_count(membership_)) return std::nullopt;
         if (const MemberState* const leaver = leaving_voter()) return RemoveReplica{leaver->id};
-        if (const MemberState* const gone = gone_voter(options_.silence_before_removal)) {
-            return RemoveReplica{gone->id};
+        if (const MemberState* const failed = failed_voter(options_.remove_voter_after)) {
+            return RemoveReplica{failed->id};
         }
-        const bool has_grown = largest_odd_size(membership_) > wanted_voters(membership_);
-        const bool lasts = group_.unchanged_for >= options_.lasting_growth && suspects().empty();
-        if (has_grown && lasts) return AdoptSize{};
+        const bool has_grown = largest_odd_size(membership_) > target_voter_count(membership_);
+        const bool lasts =
+            group_.time_since_change >= options_.adopt_growth_after && suspected_voters().empty();
+        if (has_grown && lasts) return AdoptVoterCount{};
         return std::nullopt;
     }
 
@@ -67,32 +72,35 @@
         return nullptr;
     }
 
-    std::vector<const MemberState*> suspects() const {
+    std::vector<const MemberState*> suspected_voters() const {
         std::vector<const MemberState*> found;
         for (const Replica& voter : membership_.voters) {
             const MemberState* const state = find(group_.members, voter.id);
-            if (state && state->silence >= suspect_spans * group_.heard_within) found.push_back(state);
+            if (state && state->time_since_contact >= suspicion_timeouts * group_.liveness_timeout)
+                found.push_back(state);
         }
         return found;
     }
 
-    // Of several silent ones some may only be cut off: none is taken for gone until a cut would have ended,
-    // and then the one that has been silent the longest.
-    const MemberState* gone_voter(microseconds silence) const {
-        const std::vector<const MemberState*> silent = suspects();
-        if (silent.empty()) return nullptr;
+    // The voter that counts as failed, if any. If several voters are suspected, some may only be partitioned
+    // away: none counts as failed until a partition would have ended, and then only the one that has been
+    // unresponsive the longest.
+    const MemberState* failed_voter(microseconds required_silence) const {
+        const std::vector<const MemberState*> suspected = suspected_voters();
+        if (suspected.empty()) return nullptr;
         const auto shorter = [](const MemberState* one, const MemberState* other) {
-            return one->silence < other->silence;
+            return one->time_since_contact < other->time_since_contact;
         };
-        const MemberState* const longest = *std::max_element(silent.begin(), silent.end(), shorter);
-        const microseconds needed = silent.size() == 1 ? silence : options_.longest_cut;
-        return longest->silence >= needed ? longest : nullptr;
+        const MemberState* const longest = *std::max_element(suspected.begin(), suspected.end(), shorter);
+        const microseconds needed =
+            suspected.size() == 1 ? required_silence : options_.max_partition_duration;
+        return longest->time_since_contact >= needed ? longest : nullptr;
     }
 
-    const MemberState* lost_learner() const {
+    const MemberState* unresponsive_learner() const {
         for (const Replica& learner : membership_.learners) {
             const MemberState* const state = find(group_.members, learner.id);
-            if (state && state->silence >= options_.silence_of_learner) return state;
+            if (state && state->time_since_contact >= options_.remove_learner_after) return state;
         }
         return nullptr;
     }
@@ -106,7 +114,7 @@
 
 std::optional<MembershipChange> next_change(const Membership& membership, const GroupState& group,
                                             const MembershipOptions& options) {
-    return Decision(membership, group, options).next();
+    return MembershipPolicy(membership, group, options).next();
 }
 
 }  // namespace dewweir::consensus
--- a/src/consensus/membership_policy.h
+++ b/src/consensus/membership_policy.h
@@ -1,6 +1,6 @@
-// Which change of the membership a leader makes next: who becomes a voter, in whose place, and who is
-// removed. A lost voter waits for its substitute and is exchanged for it, so that a repair never lowers what
-// the group can lose.
+// Decides which membership change a leader makes next: which learner becomes a voter, which voter it
+// replaces, and which replica is removed. A failed voter stays a member until a substitute replaces it, so a
+// repair never reduces the number of failures that the group tolerates.
 #pragma once
 
 #include <optional>
@@ -11,22 +11,22 @@
 
 namespace dewweir::consensus {
 
-// What the leader knows of another member.
+// What the leader knows about another member.
 struct MemberState {
     ReplicaId id = 0;
-    microseconds silence{0};  // since it was last heard
-    bool leaving = false;     // has asked to leave, of late
-    bool caught_up = false;   // a learner that has what the leader has, but for what is on its way
+    microseconds time_since_contact{0};  // since the leader last received a message from it
+    bool leaving = false;                // has a request to leave that has not expired
+    bool caught_up = false;              // a learner that lacks at most the appends in flight
 };
 
-// A leader's view of its group.
+// The leader's view of the group.
 struct GroupState {
-    std::vector<MemberState> members;  // all but the leader itself
-    microseconds heard_within{0};      // a live member is heard so often
-    microseconds unchanged_for{0};     // since the membership last changed, or the leader began
+    std::vector<MemberState> members;   // all members but the leader
+    microseconds liveness_timeout{0};   // a member counts as live if it was contacted within this time
+    microseconds time_since_change{0};  // since the membership last changed or this leader was elected
 };
 
-// Nothing where the membership is as it ought to be, or is better left alone for now.
+// The next change; none if the membership is as it should be or has to wait.
 std::optional<MembershipChange> next_change(const Membership& membership, const GroupState& group,
                                             const MembershipOptions& options);
 
--- a/src/consensus/progress.cpp
+++ b/src/consensus/progress.cpp
@@ -8,12 +8,13 @@
 namespace dewweir::consensus {
 namespace {
 
-constexpr int round_trip_memory = 8;  // a shorter sample moves the estimate by this part of the difference
+// A shorter sample lowers the estimate by this fraction (1/8) of the difference.
+constexpr int round_trip_decay_divisor = 8;
 
 }  // namespace
 
 Progress::Progress(Replica replica, Index next, TimePoint now)
-    : replica_(std::move(replica)), next_(next), last_heard_(now) {}
+    : replica_(std::move(replica)), next_(next), last_contact_(now) {}
 
 bool Progress::may_send(std::size_t max_inflight) const {
     switch (state_) {
@@ -24,7 +25,7 @@
     return false;
 }
 
-void Progress::sent(Index last, bool empty, TimePoint now) {
+void Progress::on_append_sent(Index last, bool empty, TimePoint now) {
     last_sent_ = now;
     if (state_ == ReplicationState::probe) {
         probe_sent_ = true;
@@ -35,19 +36,19 @@
     inflight_.push_back(last);
 }
 
-void Progress::accepted(Index synced) {
+void Progress::on_append_accepted(Index synced) {
     match_ = std::max(match_, synced);
     next_ = std::max(next_, match_ + 1);
     while (!inflight_.empty() && inflight_.front() <= match_) inflight_.pop_front();
     const bool snapshot_unfinished = transfer_ && transfer_->snapshot->index > match_;
     if (snapshot_unfinished) return;
     transfer_.reset();
-    const bool agrees_up_to_next = match_ + 1 >= next_;
-    if (state_ == ReplicationState::snapshot || agrees_up_to_next) state_ = ReplicationState::replicate;
+    const bool matches_up_to_next = match_ + 1 >= next_;
+    if (state_ == ReplicationState::snapshot || matches_up_to_next) state_ = ReplicationState::replicate;
     probe_sent_ = false;
 }
 
-void Progress::rejected(Index previous_index, Index hint) {
+void Progress::on_append_rejected(Index previous_index, Index hint) {
     const bool outdated = previous_index <= match_ || state_ == ReplicationState::snapshot;
     if (outdated) return;
     const bool other_probe = state_ == ReplicationState::probe && previous_index != next_ - 1;
@@ -55,11 +56,12 @@
     probe_from(std::max(match_ + 1, std::min(previous_index, hint + 1)));
 }
 
-void Progress::heartbeat_answered(const HeartbeatResponse& response, TimePoint now,
-                                  microseconds resend_after) {
-    answered_round_ = std::max(answered_round_, response.round);
-    if (response.synced > match_) accepted(response.synced);
-    // What it has in memory is no longer on the way: a follower whose disk hangs goes on being told.
+void Progress::on_heartbeat_response(const HeartbeatResponse& response, TimePoint now,
+                                     microseconds resend_after) {
+    acknowledged_round_ = std::max(acknowledged_round_, response.round);
+    if (response.synced > match_) on_append_accepted(response.synced);
+    // Entries that the follower has in memory are no longer in flight. A follower whose disk hangs therefore
+    // keeps receiving entries.
     while (!inflight_.empty() && inflight_.front() <= response.received) inflight_.pop_front();
     if (state_ == ReplicationState::snapshot) return;
     const bool lacks_entries = response.received + 1 < next_;
@@ -67,8 +69,8 @@
         state_ = ReplicationState::replicate;
         return;
     }
-    const bool may_be_on_the_way = now - last_sent_ < resend_after;
-    if (may_be_on_the_way) return;
+    const bool may_be_in_flight = now - last_sent_ < resend_after;
+    if (may_be_in_flight) return;
     if (state_ == ReplicationState::probe) {
         probe_sent_ = false;
         return;
@@ -84,8 +86,8 @@
     transfer_->snapshot = std::move(snapshot);
 }
 
-void Progress::add_round_trip(microseconds sample) {
-    const microseconds lowered = round_trip_ - (round_trip_ - sample) / round_trip_memory;
+void Progress::add_round_trip_sample(microseconds sample) {
+    const microseconds lowered = round_trip_ - (round_trip_ - sample) / round_trip_decay_divisor;
     round_trip_ = std::max(sample, lowered);
 }
 
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -6,8 +6,8 @@
 namespace dewweir::consensus {
 namespace {
 
-// The snapshot that all replicas of a new group start from. A replica that joins lacks it, and so is sent a
-// snapshot that names the members.
+// Position of the snapshot that all replicas of a new group start from. A replica that joins later lacks it
+// and therefore receives a snapshot, which contains the membership.
 constexpr Index first_index = 1;
 constexpr Term first_term = 1;
 
@@ -35,7 +35,7 @@
       timer_(options, seed),
       log_(first_snapshot(state, initial), state.entries),
       writes_(log_.last_index()) {
-    // Entries may have been written by a Write whose hard state was an earlier one.
+    // The stored hard state may have an earlier term than the stored entries.
     term_ = std::max(state.hard_state.term, log_.last_term());
     vote_ = term_ == state.hard_state.term ? state.hard_state.vote : 0;
     const Index known_commit = std::max(state.hard_state.commit, log_.snapshot_index());
@@ -50,7 +50,7 @@
     advance_clock(now);
     if (role_ != Role::leader) {
         if (now_ < timer_.deadline()) return;
-        if (is_voter() && stands_) {
+        if (is_voter() && may_campaign_) {
             start_pre_vote();
         } else {
             timer_.restart(now_);
@@ -58,7 +58,8 @@
         return;
     }
     if (now_ < heartbeat_due_) return;
-    // Rounds for reads do not put this off: under steady reads the leader would never look for its quorum.
+    // Heartbeat rounds for reads do not postpone this: under steady reads the leader would otherwise never
+    // run check quorum.
     heartbeat_due_ = now_ + options_.heartbeat_interval;
     check_quorum();
     if (role_ != Role::leader) return;
@@ -95,8 +96,8 @@
 
 ProposeResult Raft::propose(TimePoint now, std::string payload) {
     advance_clock(now);
-    if (role_ != Role::leader) return refused(Refusal::not_leader);
-    if (transfer_) return refused(Refusal::leadership_transfer_pending);
+    if (role_ != Role::leader) return refused(RefusalReason::not_leader);
+    if (transfer_) return refused(RefusalReason::leadership_transfer_pending);
     append(EntryKind::command, std::move(payload), {});
     return Accepted{log_.last_index(), term_};
 }
@@ -110,7 +111,7 @@
 
 Ready Raft::take() {
     if (role_ == Role::leader) {
-        const bool reads_wait = read_queue_.wants_round() && has_committed_in_term();
+        const bool reads_wait = read_queue_.needs_heartbeat_round() && has_committed_in_term();
         if (reads_wait) start_heartbeat_round();
         send_appends();
     }
@@ -122,15 +123,16 @@
     ready.reads = std::exchange(safe_reads_, {});
     ready.failed_reads = std::exchange(failed_reads_, {});
     const RoleChange current{role_, term_, leader_};
-    if (current != reported_) ready.role_change = current;
-    reported_ = current;
+    if (current != reported_role_change_) ready.role_change = current;
+    reported_role_change_ = current;
     return ready;
 }
 
 std::vector<Raft::Peer> Raft::peers(TimePoint now) const {
     std::vector<Peer> peers;
     for (const auto& [id, progress] : progress_) {
-        peers.push_back({progress.replica(), progress.match(), progress.silence(std::max(now, now_))});
+        peers.push_back(
+            {progress.replica(), progress.match(), progress.time_since_contact(std::max(now, now_))});
     }
     return peers;
 }
@@ -149,16 +151,16 @@
     writes_.hold({self_, to, std::move(message)});
 }
 
-// Follower of a leader not yet known, in `term`.
+// Becomes a follower in `term`, with the leader not known yet.
 void Raft::become_follower(Term term) {
     if (term > term_) set_term(term);
-    const bool led = role_ == Role::leader;
+    const bool was_leader = role_ == Role::leader;
     const bool was_follower = role_ == Role::follower;
     role_ = Role::follower;
     leader_.reset();
     votes_.clear();
     if (!was_follower) timer_.restart(now_);
-    if (!led) return;
+    if (!was_leader) return;
     progress_.clear();
     rounds_.clear();
     transfer_.reset();
@@ -172,7 +174,7 @@
     incoming_snapshot_.reset();
     writes_.drop_held();
     writes_.hard_state_changed();
-    term_write_ = writes_.covering_sequence();
+    term_write_sequence_ = writes_.covering_sequence();
 }
 
 void Raft::advance_commit_to(Index index) { commit_ = std::max(commit_, std::min(index, log_.last_index())); }
@@ -185,14 +187,14 @@
         const Index from = std::max(*writes_.entries_from(), log_.snapshot_index() + 1);
         write.entries = EntriesWrite{from, log_.range(from, log_.last_index())};
     }
-    // Never above what is synced: a restart must not take other entries for committed.
+    // Never above the synced index: after a restart other entries could be at those positions.
     durable_commit_ = std::max(durable_commit_, std::min(commit_, writes_.stable_index()));
     write.hard_state = HardState{term_, vote_, durable_commit_};
     write.sequence = writes_.begin_batch(log_.last_index());
     return write;
 }
 
-Write Raft::whole_state() {
+Write Raft::full_state_write() {
     writes_.hard_state_changed();
     writes_.snapshot_changed();
     writes_.entries_changed(log_.snapshot_index() + 1);
--- a/src/consensus/read_queue.cpp
+++ b/src/consensus/read_queue.cpp
@@ -4,7 +4,7 @@
 
 void ReadQueue::add(const WaitingRead& read, ReadUrgency urgency) {
     unassigned_.push_back(read);
-    if (urgency == ReadUrgency::at_once) urgent_ = true;
+    if (urgency == ReadUrgency::immediate) urgent_ = true;
 }
 
 void ReadQueue::assign(HeartbeatRound round, Index commit) {
--- a/src/consensus/read_queue.h
+++ b/src/consensus/read_queue.h
@@ -1,4 +1,4 @@
-// Reads that wait for a majority to confirm the leader (thesis 6.4).
+// Linearizable reads that wait for a majority to confirm the leader (read index, thesis 6.4).
 #pragma once
 
 #include <cstdint>
@@ -9,41 +9,43 @@
 
 namespace dewweir::consensus {
 
-using ReadToken = std::uint64_t;  // the caller's name of a read
+// Chosen by the caller to identify a read.
+using ReadToken = std::uint64_t;
 
-// The read may be answered from a state machine that has applied `index`.
+// A confirmed read: it may be answered from a state machine that has applied `index`.
 struct SafeRead {
     ReadToken token = 0;
     Index index = 0;
 };
 
 enum class ReadUrgency : std::uint8_t {
-    at_once,     // starts a heartbeat round
-    next_round,  // rides on the next regular one
+    immediate,   // starts a heartbeat round of its own
+    next_round,  // is confirmed by the next periodic heartbeat round
 };
 
-// Who waits: the leader's own caller, or a follower that asked.
+// A read with its requester: the leader's own caller, or a follower.
 struct WaitingRead {
-    ReplicaId asker = 0;
+    ReplicaId requester = 0;
     ReadToken token = 0;
 };
 
 struct ConfirmedRead {
     WaitingRead read;
-    Index index = 0;
+    Index index = 0;  // commit index when the read's heartbeat round started
 };
 
 class ReadQueue {
   public:
     void add(const WaitingRead& read, ReadUrgency urgency);
-    bool wants_round() const { return urgent_; }
+    // Whether an immediate read has no heartbeat round yet.
+    bool needs_heartbeat_round() const { return urgent_; }
     bool empty() const { return unassigned_.empty() && waiting_.empty(); }
 
-    // The reads that came so far are confirmed by `round`, and see the log up to `commit`.
+    // Assigns all reads without a round to `round`; they will see the log up to `commit`.
     void assign(HeartbeatRound round, Index commit);
-    // A majority has answered `round`.
+    // Removes and returns the reads that are confirmed once a majority has answered `round`.
     std::vector<ConfirmedRead> confirmed(HeartbeatRound round);
-    // All reads that were not confirmed.
+    // Removes and returns all reads that are not confirmed.
     std::vector<WaitingRead> clear();
 
   private:
@@ -53,8 +55,8 @@
     };
 
     std::vector<WaitingRead> unassigned_;
-    std::deque<Assigned> waiting_;  // by round
-    bool urgent_ = false;           // one of the unassigned ones is
+    std::deque<Assigned> waiting_;  // ordered by round
+    bool urgent_ = false;           // an unassigned read is immediate
 };
 
 }  // namespace dewweir::consensus
--- a/src/consensus/reads.cpp
+++ b/src/consensus/reads.cpp
@@ -1,16 +1,17 @@
-// Reads that a majority confirms (thesis 6.4), for the leader's own callers and for followers.
+// Linearizable reads confirmed by a majority (read index, thesis 6.4), for the leader's own callers and for
+// followers.
 #include "consensus/raft.h"
 
 namespace dewweir::consensus {
 
 std::optional<Refused> Raft::read_index(TimePoint now, ReadToken token) {
     advance_clock(now);
-    if (role_ != Role::leader) return refused(Refusal::not_leader);
-    read_queue_.add({self_.id, token}, ReadUrgency::at_once);
+    if (role_ != Role::leader) return refused(RefusalReason::not_leader);
+    read_queue_.add({self_.id, token}, ReadUrgency::immediate);
     return std::nullopt;
 }
 
-void Raft::confirm_state(TimePoint now, ReadToken token) {
+void Raft::read_index_via_leader(TimePoint now, ReadToken token) {
     advance_clock(now);
     if (role_ == Role::leader) {
         read_queue_.add({self_.id, token}, ReadUrgency::next_round);
@@ -24,16 +25,16 @@
     auto answered = [this](ReplicaId id) {
         if (id == self_.id) return round_;
         auto found = progress_.find(id);
-        return found == progress_.end() ? HeartbeatRound{0} : found->second.answered_round();
+        return found == progress_.end() ? HeartbeatRound{0} : found->second.acknowledged_round();
     };
     const HeartbeatRound round = majority_index(log_.membership(), answered);
     for (const ConfirmedRead& confirmed : read_queue_.confirmed(round)) {
-        const auto& [asker, token] = confirmed.read;
-        if (asker == self_.id) {
+        const auto& [requester, token] = confirmed.read;
+        if (requester == self_.id) {
             safe_reads_.push_back({token, confirmed.index});
             continue;
         }
-        const auto found = progress_.find(asker);
+        const auto found = progress_.find(requester);
         if (found == progress_.end()) continue;
         send(found->second.replica(), ReadIndexResponse{term_, token, confirmed.index});
     }
@@ -41,7 +42,7 @@
 
 void Raft::fail_reads() {
     for (const WaitingRead& read : read_queue_.clear()) {
-        if (read.asker == self_.id) failed_reads_.push_back(read.token);
+        if (read.requester == self_.id) failed_reads_.push_back(read.token);
     }
 }
 
@@ -50,7 +51,8 @@
     read_queue_.add({from.id, request.token}, ReadUrgency::next_round);
 }
 
-// The index is a lower bound of what was acknowledged, whatever has become of the leader that told it.
+// The index stays valid for the read even if the sender is no longer the leader: everything acknowledged
+// before the request was at or below it.
 void Raft::on(const Replica&, const ReadIndexResponse& response) {
     safe_reads_.push_back({response.token, response.index});
 }
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -1,5 +1,5 @@
-// Replication of the log (thesis 3.5), commitment (3.6.2), asynchronous disks (10.2.1), reads (6.4) and the
-// leader that hears no majority (6.2).
+// Log replication (thesis 3.5), commitment (3.6.2), disk writes in parallel with messages (10.2.1),
+// confirmation of reads (6.4) and check quorum (6.2).
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,9 @@
 namespace dewweir::consensus {
 namespace {
 
-constexpr std::size_t max_remembered_rounds = 64;  // heartbeats whose answers still measure a round trip
+// Heartbeat rounds whose responses still measure a round trip.
+constexpr std::size_t max_remembered_rounds = 64;
+// A message without a response for this many round trips counts as lost.
 constexpr int resend_round_trips = 2;
 
 }  // namespace
@@ -31,7 +33,7 @@
     if (has_committed_in_term()) read_queue_.assign(round_, commit_);
     for (auto& [id, progress] : progress_) {
         const Index commit = std::min(commit_, progress.match());
-        send(progress.replica(), HeartbeatRequest{term_, round_, commit, timer_.widest_round_trip()});
+        send(progress.replica(), HeartbeatRequest{term_, round_, commit, timer_.max_round_trip()});
     }
     confirm_reads();
 }
@@ -62,12 +64,12 @@
     request.commit = commit_;
     request.entries = log_.slice(progress.next(), options_.max_append_bytes);
     const Index last = previous + request.entries.size();
-    progress.sent(last, request.entries.empty(), now_);
+    progress.on_append_sent(last, request.entries.empty(), now_);
     send(progress.replica(), std::move(request));
 }
 
-// The leader counts itself like any other: only with what its own disk has. Its disk is not needed if a
-// majority of others has the entries.
+// The leader counts itself like any other replica, with the entries on its own disk. It can commit entries
+// that are not on its own disk yet if a majority of the others has them.
 void Raft::update_commit() {
     auto reached = [this](ReplicaId id) {
         if (id == self_.id) return writes_.stable_index();
@@ -78,39 +80,41 @@
     const bool advances = index > commit_ && log_.term_at(index) == term_;
     if (!advances) return;
     advance_commit_to(index);
-    follow_membership();
+    apply_committed_membership();
 }
 
 void Raft::check_quorum() {
-    const microseconds span = timer_.shortest();
-    auto heard = [this, span](ReplicaId id) {
+    const microseconds liveness_timeout = timer_.minimum_timeout();
+    auto is_live = [this, liveness_timeout](ReplicaId id) {
         if (id == self_.id) return true;
         auto found = progress_.find(id);
-        return found != progress_.end() && found->second.heard_within(span, now_);
+        return found != progress_.end() && found->second.contacted_within(liveness_timeout, now_);
     };
-    if (!has_majority(log_.membership(), heard)) become_follower(term_);
+    if (!has_majority(log_.membership(), is_live)) become_follower(term_);
 }
 
 void Raft::measure_round_trip(Progress& progress, HeartbeatRound round) {
     auto same = [round](const Round& sent) { return sent.number == round; };
     const auto sent = std::find_if(rounds_.begin(), rounds_.end(), same);
     if (sent == rounds_.end()) return;
-    progress.add_round_trip(std::chrono::duration_cast<microseconds>(now_ - sent->sent_at));
-    microseconds widest{0};
-    const microseconds span = timer_.shortest();
+    progress.add_round_trip_sample(std::chrono::duration_cast<microseconds>(now_ - sent->sent_at));
+    microseconds max_round_trip{0};
+    const microseconds liveness_timeout = timer_.minimum_timeout();
     for (const auto& [id, other] : progress_) {
-        if (other.heard_within(span, now_)) widest = std::max(widest, other.round_trip());
+        if (other.contacted_within(liveness_timeout, now_))
+            max_round_trip = std::max(max_round_trip, other.round_trip());
     }
-    timer_.set_widest_round_trip(widest);
+    timer_.set_max_round_trip(max_round_trip);
 }
 
-// The progress of an answer's sender; none if the answer is not for this leader's term.
+// The Progress of a message's sender, whose contact is recorded; null if this replica does not lead in `term`
+// or the sender is not a member.
 Progress* Raft::progress_of(const Replica& from, Term term) {
     if (term > term_) become_follower(term);
     if (role_ != Role::leader || term != term_) return nullptr;
     auto found = progress_.find(from.id);
     if (found == progress_.end()) return nullptr;
-    found->second.heard(now_);
+    found->second.record_contact(now_);
     return &found->second;
 }
 
@@ -118,10 +122,10 @@
     Progress* progress = progress_of(from, response.term);
     if (!progress) return;
     if (!response.accepted) {
-        progress->rejected(response.previous_index, response.index);
+        progress->on_append_rejected(response.previous_index, response.index);
         return;
     }
-    progress->accepted(response.index);
+    progress->on_append_accepted(response.index);
     update_commit();
     if (role_ == Role::leader) continue_transfer();
 }
@@ -129,17 +133,17 @@
 void Raft::on(const Replica& from, const HeartbeatResponse& response) {
     Progress* progress = progress_of(from, response.term);
     if (!progress) return;
-    const bool first_answer = response.round > progress->answered_round();
-    if (first_answer) measure_round_trip(*progress, response.round);
+    const bool first_response = response.round > progress->acknowledged_round();
+    if (first_response) measure_round_trip(*progress, response.round);
     const microseconds interval = options_.heartbeat_interval;
     const microseconds resend_after = std::max(interval, progress->round_trip() * resend_round_trips);
-    progress->heartbeat_answered(response, now_, resend_after);
+    progress->on_heartbeat_response(response, now_, resend_after);
     confirm_reads();
     update_commit();
 }
 
-// Whether the message of `term` comes from the current leader, which is then followed. An outdated one is
-// told.
+// Whether a message of `term` comes from the current leader; if so, this replica follows the sender. A sender
+// with an outdated term is informed of the current one.
 bool Raft::accept_leader(const Replica& from, Term term) {
     if (term < term_) {
         send(from, AppendResponse{term_, false, 0, 0});
@@ -147,14 +151,14 @@
     }
     if (term > term_ || role_ != Role::follower) become_follower(term);
     leader_ = from;
-    leader_heard_at_ = now_;
+    last_leader_contact_ = now_;
     timer_.restart(now_);
     return true;
 }
 
-// Equal to the leader's log and on disk, together with the term in which that is said.
+// The index up to which the log on disk equals the leader's; 0 until the current term is on disk as well.
 Index Raft::synced_match() const {
-    if (!matched_ || !writes_.is_persisted(term_write_)) return 0;
+    if (!matched_ || !writes_.is_persisted(term_write_sequence_)) return 0;
     return std::min(*matched_, writes_.stable_index());
 }
 
@@ -164,7 +168,8 @@
     send(*leader_, AppendResponse{term_, true, synced, 0});
 }
 
-// The last entry before the conflict that may be equal: entries of later terms than the leader's cannot be.
+// The last entry before the conflict that may equal the leader's. Entries with a later term than the leader's
+// entry cannot.
 Index Raft::conflict_hint(Index previous_index, Term previous_term) const {
     Index hint = std::min(previous_index - 1, log_.last_index());
     while (hint > commit_ && log_.term_at(hint).value_or(0) > previous_term) --hint;
@@ -183,9 +188,10 @@
 
 void Raft::on(const Replica& from, const AppendRequest& request) {
     if (!accept_leader(from, request.term)) return;
-    const bool covered = request.previous_index <= commit_;  // committed entries are equal everywhere
-    const bool fits = covered || log_.matches(request.previous_index, request.previous_term);
-    if (!fits) {
+    const bool covered =
+        request.previous_index <= commit_;  // committed entries are identical at all replicas
+    const bool matches_previous = covered || log_.matches(request.previous_index, request.previous_term);
+    if (!matches_previous) {
         const Index hint = conflict_hint(request.previous_index, request.previous_term);
         send(from, AppendResponse{term_, false, hint, request.previous_index});
         return;
@@ -194,14 +200,14 @@
     const Index last = request.previous_index + request.entries.size();
     matched_ = std::max({matched_.value_or(0), last, commit_});
     advance_commit_to(std::min(request.commit, last));
-    const bool nothing_to_wait_for = synced_match() >= last;
-    if (nothing_to_wait_for) acknowledge();
+    const bool already_synced = synced_match() >= last;
+    if (already_synced) acknowledge();
 }
 
 void Raft::on(const Replica& from, const HeartbeatRequest& request) {
     if (!accept_leader(from, request.term)) return;
-    timer_.set_widest_round_trip(request.widest_round_trip);
-    // The leader sends no more than what this replica has acknowledged in this term.
+    timer_.set_max_round_trip(request.max_round_trip);
+    // The leader sends a commit index no higher than what this replica has acknowledged in this term.
     matched_ = std::max(matched_.value_or(0), request.commit);
     advance_commit_to(request.commit);
     send(from, HeartbeatResponse{term_, request.round, *matched_, synced_match()});
--- a/src/consensus/snapshot_checksum.h
+++ b/src/consensus/snapshot_checksum.h
@@ -1,4 +1,4 @@
-// What a receiver of a snapshot checks the joined parts by.
+// Checksum by which the receiver of a snapshot verifies the chunks it has joined.
 #pragma once
 
 #include <cstdint>
@@ -6,6 +6,7 @@
 
 namespace dewweir::consensus {
 
+// XXH3, 64 bits.
 std::uint64_t snapshot_checksum(std::string_view data);
 
 }  // namespace dewweir::consensus
--- a/src/consensus/snapshot_transfer.cpp
+++ b/src/consensus/snapshot_transfer.cpp
@@ -1,5 +1,5 @@
-// Snapshots for followers whose next entries are compacted (thesis 5.1), sent in chunks, one on the way at a
-// time.
+// Snapshots for followers whose next entries are compacted (thesis 5.1). They are sent in chunks, one chunk
+// in flight at a time.
 #include <algorithm>
 #include <utility>
 
@@ -9,12 +9,13 @@
 namespace dewweir::consensus {
 namespace {
 
+// A chunk without a response for this many round trips counts as lost.
 constexpr int resend_round_trips = 2;
 
 }  // namespace
 
 void Raft::send_snapshot_chunk(Progress& progress) {
-    SnapshotTransfer& transfer = progress.transfer();
+    SnapshotTransfer& transfer = progress.snapshot_transfer();
     const Snapshot& snapshot = *transfer.snapshot;
     SnapshotChunk chunk;
     chunk.term = term_;
@@ -35,14 +36,14 @@
         if (progress.state() != ReplicationState::snapshot) continue;
         const microseconds interval = options_.heartbeat_interval;
         const microseconds resend_after = std::max(interval, progress.round_trip() * resend_round_trips);
-        if (now_ - progress.transfer().sent_at >= resend_after) send_snapshot_chunk(progress);
+        if (now_ - progress.snapshot_transfer().sent_at >= resend_after) send_snapshot_chunk(progress);
     }
 }
 
 void Raft::on(const Replica& from, const SnapshotChunkResponse& response) {
     Progress* progress = progress_of(from, response.term);
     if (!progress || progress->state() != ReplicationState::snapshot) return;
-    SnapshotTransfer& transfer = progress->transfer();
+    SnapshotTransfer& transfer = progress->snapshot_transfer();
     const Snapshot& snapshot = *transfer.snapshot;
     const bool current = response.index == snapshot.index && response.received_bytes <= snapshot.data.size();
     const bool repeated = response.received_bytes == transfer.offset;
@@ -61,17 +62,18 @@
         return;
     }
     const IncomingSnapshot described{chunk.snapshot_term, chunk.index, chunk.checksum, {}};
-    const bool same = incoming_snapshot_ && incoming_snapshot_->is_part_of(described);
+    const bool same = incoming_snapshot_ && incoming_snapshot_->is_same_snapshot(described);
     if (!same) incoming_snapshot_ = described;
     std::string& data = incoming_snapshot_->data;
     const bool next = chunk.offset == data.size();
     if (next) data += chunk.data;
-    const bool whole = next && chunk.last;
-    // Parts that don't make up what the leader has are thrown away; it begins again when it hears of none.
-    const bool intact = !whole || snapshot_checksum(data) == chunk.checksum;
+    const bool complete = next && chunk.last;
+    // Chunks that do not add up to the leader's snapshot are discarded. The response then reports 0 bytes,
+    // and the leader starts again.
+    const bool intact = !complete || snapshot_checksum(data) == chunk.checksum;
     if (!intact) data.clear();
     send(from, SnapshotChunkResponse{term_, chunk.index, data.size()});
-    if (whole && intact) install(chunk, std::move(data));
+    if (complete && intact) install(chunk, std::move(data));
 }
 
 void Raft::install(const SnapshotChunk& description, std::string data) {
--- a/src/consensus/types.h
+++ b/src/consensus/types.h
@@ -1,5 +1,5 @@
-// The data that agreement works on and that storage keeps: entries of the replicated log, the state a replica
-// must not forget, snapshots and memberships. Data alone.
+// Data types shared by the consensus algorithm and its durable store: log entries, the hard state that a
+// replica must not lose, snapshots and the group's membership. Plain data, no behaviour.
 #pragma once
 
 #include <cstdint>
@@ -9,71 +9,78 @@
 
 namespace dewweir::consensus {
 
-using ReplicaId = std::uint64_t;  // of one replica's life on one disk; 0 is none
-using Term = std::uint64_t;       // 0 before the first election
-using Index = std::uint64_t;      // of an entry in the log, from 1; 0 is before the first
+// Identifies one replica on one disk: a machine whose disk was lost gets a new id. 0 means no replica.
+using ReplicaId = std::uint64_t;
+// A Raft term; 0 before the first election.
+using Term = std::uint64_t;
+// Position of an entry in the log, counted from 1; 0 precedes the first entry.
+using Index = std::uint64_t;
 
+// One member of the group and where other processes of the system reach it.
 struct Replica {
     ReplicaId id = 0;
-    std::string address;  // "IPv4:port" of the replica's port for other processes of the system
+    std::string address;  // "IPv4:port" of the port for other processes of the system
 
     bool operator==(const Replica&) const = default;
 };
 
+// The replicas that take part in consensus.
 struct Membership {
-    std::vector<Replica> voters;      // whose majority decides
-    std::vector<Replica> learners{};  // who receive the log and have no vote
-    // While one voter is exchanged for another, the voters before: a majority of them is needed as well
-    // (joint consensus, thesis 4.3). Empty otherwise.
+    std::vector<Replica> voters;      // a majority of them elects leaders and commits entries
+    std::vector<Replica> learners{};  // receive the log but do not vote
+    // The previous voters while one voter is replaced by another: during this joint consensus (thesis 4.3)
+    // decisions need a majority of these as well. Empty otherwise.
     std::vector<Replica> outgoing{};
-    // How many voters the group ought to have. Voters beyond it that are gone are removed; with no more than
-    // that a lost one waits for its substitute. 0 in what earlier versions stored: as many as there are.
-    std::uint32_t wanted_voters = 0;
+    // Number of voters the group should have. Failed voters beyond this number are removed; with no surplus
+    // a failed voter stays until a substitute replaces it. 0 in data stored by earlier versions: the current
+    // number of voters applies.
+    std::uint32_t target_voter_count = 0;
 
     bool operator==(const Membership&) const = default;
 };
 
 enum class EntryKind : std::uint8_t {
-    no_op,       // the first of a leader's term
-    command,     // the payload is the state machine's
-    membership,  // replaces the membership as soon as it is in the log
+    no_op,       // first entry of a leader's term
+    command,     // `payload` is a command of the replicated state machine
+    membership,  // replaces the membership as soon as it is in the log, before it is committed
 };
 
+// One entry of the replicated log.
 struct Entry {
     Term term = 0;
     Index index = 0;
     EntryKind kind = EntryKind::no_op;
-    std::string payload;    // of a command
-    Membership membership;  // of a membership
+    std::string payload;    // for EntryKind::command
+    Membership membership;  // for EntryKind::membership
 
     bool operator==(const Entry&) const = default;
 };
 
-// What a replica must have on its disk before it answers a vote or an append.
+// State that must be on disk before the replica answers a vote request or an append.
 struct HardState {
     Term term = 0;
-    ReplicaId vote = 0;  // given in `term`
-    Index commit = 0;    // a lower bound; may lag behind
+    ReplicaId vote = 0;  // candidate voted for in `term`, 0 if none
+    Index commit = 0;    // lower bound of the commit index; may lag behind
 
     bool operator==(const HardState&) const = default;
 };
 
-// The state machine's state after all entries up to `index`.
+// The state machine's state after it has applied all entries up to `index`.
 struct Snapshot {
     Index index = 0;
-    Term term = 0;
+    Term term = 0;  // of the entry at `index`
     Membership membership;
     std::string data;
 
     bool operator==(const Snapshot&) const = default;
 };
 
-// All that a replica starts from.
+// Everything a replica restarts from.
 struct PersistentState {
     Replica self;  // id 0: this disk has never held a replica
     HardState hard_state;
     std::optional<Snapshot> snapshot;
-    std::vector<Entry> entries;  // after the snapshot, without gaps
+    std::vector<Entry> entries;  // the entries after the snapshot, without gaps
 };
 
 }  // namespace dewweir::consensus
--- a/src/control_plane/raft_log.cpp
+++ b/src/control_plane/raft_log.cpp
@@ -115,7 +115,7 @@
 
 void RaftLog::disk_recovered() {
     if (!raft_) return;
-    disk_.write(raft_->whole_state(), raft_->self());
+    disk_.write(raft_->full_state_write(), raft_->self());
     process();
 }
 
@@ -134,7 +134,7 @@
         std::chrono::duration_cast<std::chrono::microseconds>(raft_->next_deadline() - loop_.steady_now());
     const runtime::Time from_now = std::max<runtime::Time>(1, wait.count() / tenths_in_microseconds);
     tick_.start(from_now, [this] {
-        raft_->set_standing(disk_state() == DiskState::takes_writes);
+        raft_->set_may_campaign(disk_state() == DiskState::takes_writes);
         raft_->tick(loop_.steady_now());
         process();
     });
@@ -290,7 +290,7 @@
     freshness_timer_.start(freshness_interval, [this] { ask_for_freshness(); });
     const consensus::ReadToken token = ++last_read_;
     freshness_.asked(token, loop_.now());
-    raft_->confirm_state(loop_.steady_now(), token);
+    raft_->read_index_via_leader(loop_.steady_now(), token);
     process();
 }
 
@@ -331,7 +331,7 @@
         if (peer != peers.end()) {
             const consensus::Index last = raft_->log().last_index();
             status.behind = last - std::min(last, peer->second.match);
-            status.silence = peer->second.silence.count() / tenths_in_microseconds;
+            status.silence = peer->second.time_since_contact.count() / tenths_in_microseconds;
         } else if (leads()) {
             status.behind = 0;
         }
--- a/src/control_plane/replica_disk.cpp
+++ b/src/control_plane/replica_disk.cpp
@@ -91,7 +91,7 @@
 }
 
 std::chrono::milliseconds ReplicaDisk::oldest_wait() const {
-    return writer_.oldest_pending_since(loop_.steady_now()).value_or(std::chrono::milliseconds(0));
+    return writer_.oldest_pending_age(loop_.steady_now()).value_or(std::chrono::milliseconds(0));
 }
 
 }  // namespace dewweir::control_plane
--- a/src/wire/consensus_messages.h
+++ b/src/wire/consensus_messages.h
@@ -43,7 +43,7 @@
 
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::Replica, value.id, value.address)
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::Membership, value.voters, value.learners, value.outgoing,
-                        value.wanted_voters)
+                        value.target_voter_count)
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::Entry, value.term, value.index, value.kind, value.payload,
                         value.membership)
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::PreVoteRequest, value.term, value.campaign_term, value.last_index,
@@ -57,7 +57,7 @@
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::AppendResponse, value.term, value.accepted, value.index,
                         value.previous_index)
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::HeartbeatRequest, value.term, value.round, value.commit,
-                        value.widest_round_trip)
+                        value.max_round_trip)
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::HeartbeatResponse, value.term, value.round, value.received,
                         value.synced)
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::SnapshotChunk, value.term, value.index, value.snapshot_term,
@@ -68,7 +68,7 @@
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::ReadIndexRequest, value.term, value.token)
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::ReadIndexResponse, value.term, value.token, value.index)
     DEWWEIR_WIRE_STRUCT(dewweir::consensus::LeaveRequest, value.term)
-    DEWWEIR_WIRE_STRUCT(dewweir::consensus::LeaveResponse, value.term, value.may_go)
+    DEWWEIR_WIRE_STRUCT(dewweir::consensus::LeaveResponse, value.term, value.permitted)
 
     }  // namespace adaptor
 }
--- a/tests/consensus/promises.cpp
+++ b/tests/consensus/promises.cpp
@@ -96,8 +96,8 @@
 
 TEST_CASE("a message to an earlier life of the machine is not taken") {
     Raft raft = settled_follower();
-    const Replica old_life{99, self.address};
-    raft.receive(TimePoint{}, {second, old_life, VoteRequest{term, start_index, start_term, false}});
+    const Replica previous_replica{99, self.address};
+    raft.receive(TimePoint{}, {second, previous_replica, VoteRequest{term, start_index, start_term, false}});
     CHECK(raft.take().messages.empty());
     CHECK(raft.term() == start_term);
 }
@@ -173,7 +173,7 @@
     CHECK(raft.commit_index() == start_index);
     const ProposeResult change = raft.propose_membership(now, AddLearner{{4, "10.0.0.4:7000"}});
     REQUIRE(std::get_if<Refused>(&change));
-    CHECK(std::get<Refused>(change).reason == Refusal::membership_change_pending);
+    CHECK(std::get<Refused>(change).reason == RefusalReason::membership_change_pending);
     raft.receive(now, {second, self, AppendResponse{term + 1, true, 3, 0}});
     CHECK(raft.commit_index() == start_index);
     raft.receive(now, {third, self, AppendResponse{term + 1, true, 3, 0}});
@@ -202,9 +202,9 @@
 
 TEST_CASE("a change of two voters at once is refused") {
     const Membership membership{{self, second, third}, {{4, third.address}}};
-    const auto result = changed(membership, PromoteLearner{4});
-    REQUIRE(std::get_if<Refusal>(&result));
-    CHECK(std::get<Refusal>(result) == Refusal::old_life_is_voter);
+    const auto result = membership_after(membership, PromoteLearner{4});
+    REQUIRE(std::get_if<RefusalReason>(&result));
+    CHECK(std::get<RefusalReason>(result) == RefusalReason::voter_at_same_address);
 }
 
 }  // namespace
--- a/tests/consensus/repairs.cpp
+++ b/tests/consensus/repairs.cpp
@@ -83,7 +83,7 @@
 
 TEST_CASE("an exchange of voters needs both majorities: no cut makes two groups") {
     CHECK(exchange_in_a_cut_is_safe(Sabotage::none));
-    CHECK_FALSE(exchange_in_a_cut_is_safe(Sabotage::exchange_in_one_step));
+    CHECK_FALSE(exchange_in_a_cut_is_safe(Sabotage::replace_without_joint_consensus));
 }
 
 // The leaver and the leader alone hold what was acknowledged last, the leader loses its disk, and the leaver
--- a/tests/consensus/world.cpp
+++ b/tests/consensus/world.cpp
@@ -13,8 +13,8 @@
 
 World::World(std::size_t machines, std::uint64_t seed, Sabotage sabotage)
     : random_(seed), sabotage_(sabotage) {
-    options_.guards.joint_exchange = sabotage != Sabotage::exchange_in_one_step;
-    options_.guards.ask_before_leaving = sabotage != Sabotage::leave_unasked;
+    options_.guards.joint_consensus = sabotage != Sabotage::replace_without_joint_consensus;
+    options_.guards.confirm_before_leaving = sabotage != Sabotage::leave_unasked;
     options_.max_append_bytes = 64;
     options_.max_inflight_appends = 4;
     options_.max_snapshot_chunk_bytes = 3;
--- a/tests/consensus/world.h
+++ b/tests/consensus/world.h
@@ -23,7 +23,7 @@
     persisted_before_sync,
     read_without_quorum,
     serve_while_leader_is_heard,  // a follower shows its state because it hears a leader
-    exchange_in_one_step,         // without the joint step
+    replace_without_joint_consensus,         // without the joint step
     leave_unasked,
 };
 
--- a/tests/consensus/world_clients.cpp
+++ b/tests/consensus/world_clients.cpp
@@ -126,7 +126,7 @@
     }
     const ReadToken token = next_token_++;
     machine.reads[token].known_at_start = checker_.known();
-    with(index, [&](Raft& raft) { raft.confirm_state(now_, token); });
+    with(index, [&](Raft& raft) { raft.read_index_via_leader(now_, token); });
 }
 
 bool World::read(MachineIndex index) {
--- a/tests/consensus/world_faults.cpp
+++ b/tests/consensus/world_faults.cpp
@@ -55,7 +55,7 @@
 
 void World::rewrite_disk(MachineIndex index) {
     Machine& machine = machines_[index];
-    const Write whole = machine.raft->whole_state();
+    const Write whole = machine.raft->full_state_write();
     machine.refused_through = whole.sequence - 1;
     machine.disk.forget_unsynced();
     write(index, whole);
