--- a/src/storage/disk_writer.cpp
+++ b/src/storage/disk_writer.cpp
@@ -11,10 +11,11 @@
 
 namespace {
 
-using Moment = DiskWriter::Moment;
+using TimePoint = DiskWriter::TimePoint;
 
-// Beyond this, queued batches become several writes, so that memory stays bounded and none takes too long.
-constexpr std::size_t largest_joined_bytes = 256 * 1024;
+// Queued batches are merged into one write up to this size, which bounds the memory and the duration of a
+// write.
+constexpr std::size_t max_merged_bytes = 256 * 1024;
 
 struct WriteJob {
     WriteBatch batch;
@@ -26,9 +27,10 @@
     DiskWriter::OpenHandler handler;
 };
 
+// One call of the owner, waiting for the thread.
 struct Job {
     std::variant<WriteJob, OpenJob> work;
-    Moment since;
+    TimePoint submitted_at;
 };
 
 std::vector<WriteToken> tokens_of(const Job& job) {
@@ -42,21 +44,22 @@
     std::shared_ptr<ReplicaStore> store;
     Poster poster;
     CompletionHandler handler;
-    std::atomic<bool> handlers_gone = false;  // set on the owner's loop
-    std::mutex posting;  // held while the poster is called; it is not, once handlers are gone
+    std::atomic<bool> handlers_disabled = false;  // set on the owner's loop
+    // Held while the poster is called. The poster is not called once handlers are disabled.
+    std::mutex post_mutex;
 
-    std::mutex mutex;  // of all below
+    std::mutex mutex;  // guards all members below
     std::condition_variable work_or_stop;
     std::condition_variable thread_ended;
     std::deque<Job> queue;
-    std::optional<Moment> running_since;
+    std::optional<TimePoint> running_since;
     std::vector<WriteToken> running_tokens;
     bool stopping = false;
     bool ended = false;
 
     void post(std::function<void()> function) {
-        const std::lock_guard lock(posting);
-        if (!handlers_gone) poster(std::move(function));
+        const std::lock_guard lock(post_mutex);
+        if (!handlers_disabled) poster(std::move(function));
     }
 
     void add(Job job) {
@@ -66,21 +69,21 @@
         work_or_stop.notify_one();
     }
 
-    // Under the mutex.
+    // Requires the mutex and a queue that is not empty.
     Job take() {
         Job job = std::move(queue.front());
         queue.pop_front();
-        if (auto* write = std::get_if<WriteJob>(&job.work)) join_queued(*write);
+        if (auto* write = std::get_if<WriteJob>(&job.work)) merge_queued(*write);
         return job;
     }
 
-    void join_queued(WriteJob& job) {
+    void merge_queued(WriteJob& job) {
         std::size_t bytes = approximate_size(job.batch);
         while (!queue.empty()) {
             auto* next = std::get_if<WriteJob>(&queue.front().work);
             if (next == nullptr) return;
             bytes += approximate_size(next->batch);
-            if (bytes > largest_joined_bytes) return;
+            if (bytes > max_merged_bytes) return;
             merge_into(job.batch, std::move(next->batch));
             job.tokens.insert(job.tokens.end(), next->tokens.begin(), next->tokens.end());
             queue.pop_front();
@@ -100,21 +103,21 @@
 
 namespace {
 
-// Members of Shared are the thread's functions' too; templates keep its name private.
-template <typename Shared> void perform(const std::shared_ptr<Shared>& shared, WriteJob& job) {
+// The thread's functions use the private type DiskWriter::Shared; as templates they need not name it.
+template <typename Shared> void execute(const std::shared_ptr<Shared>& shared, WriteJob& job) {
     WriteResult result = shared->store->write(job.batch);
     shared->post([shared, tokens = std::move(job.tokens), result = std::move(result)] {
         for (const WriteToken token : tokens) {
-            if (shared->handlers_gone) return;
+            if (shared->handlers_disabled) return;
             shared->handler(WriteCompletion{token, result});
         }
     });
 }
 
-template <typename Shared> void perform(const std::shared_ptr<Shared>& shared, OpenJob& job) {
+template <typename Shared> void execute(const std::shared_ptr<Shared>& shared, OpenJob& job) {
     auto result = std::make_shared<OpenResult>(shared->store->open(job.folder));
     shared->post([shared, handler = std::move(job.handler), result] {
-        if (!shared->handlers_gone) handler(std::move(*result));
+        if (!shared->handlers_disabled) handler(std::move(*result));
     });
 }
 
@@ -124,10 +127,10 @@
         shared->work_or_stop.wait(lock, [&] { return shared->stopping || !shared->queue.empty(); });
         if (shared->queue.empty()) break;
         Job job = shared->take();
-        shared->running_since = job.since;
+        shared->running_since = job.submitted_at;
         shared->running_tokens = tokens_of(job);
         lock.unlock();
-        std::visit([&](auto& work) { perform(shared, work); }, job.work);
+        std::visit([&](auto& work) { execute(shared, work); }, job.work);
         lock.lock();
         shared->running_since.reset();
         shared->running_tokens.clear();
@@ -148,37 +151,37 @@
 
 DiskWriter::~DiskWriter() {
     {
-        const std::lock_guard lock(shared_->posting);
-        shared_->handlers_gone = true;
+        const std::lock_guard lock(shared_->post_mutex);
+        shared_->handlers_disabled = true;
     }
     if (!thread_.joinable()) return;
     stop(StopMode::abandon, destructor_wait);
     if (thread_.joinable()) thread_.detach();
 }
 
-void DiskWriter::submit(WriteBatch batch, WriteToken token, Moment now) {
+void DiskWriter::submit(WriteBatch batch, WriteToken token, TimePoint now) {
     shared_->add(Job{WriteJob{std::move(batch), {token}}, now});
 }
 
-void DiskWriter::open(std::string folder, OpenHandler handler, Moment now) {
+void DiskWriter::open(std::string folder, OpenHandler handler, TimePoint now) {
     shared_->add(Job{OpenJob{std::move(folder), std::move(handler)}, now});
 }
 
-std::optional<std::chrono::milliseconds> DiskWriter::oldest_pending_since(Moment now) const {
+std::optional<std::chrono::milliseconds> DiskWriter::oldest_pending_age(TimePoint now) const {
     const std::lock_guard lock(shared_->mutex);
-    std::optional<Moment> since = shared_->running_since;
-    if (!since && !shared_->queue.empty()) since = shared_->queue.front().since;
+    std::optional<TimePoint> since = shared_->running_since;
+    if (!since && !shared_->queue.empty()) since = shared_->queue.front().submitted_at;
     if (!since) return std::nullopt;
     return std::chrono::duration_cast<std::chrono::milliseconds>(now - *since);
 }
 
-StopReport DiskWriter::stop(StopMode mode, std::chrono::milliseconds bound) {
+StopReport DiskWriter::stop(StopMode mode, std::chrono::milliseconds limit) {
     StopReport report;
     std::unique_lock lock(shared_->mutex);
     shared_->stopping = true;
     if (mode == StopMode::abandon) report.abandoned = shared_->drop_queue();
     shared_->work_or_stop.notify_one();
-    report.stopped = shared_->thread_ended.wait_for(lock, bound, [&] { return shared_->ended; });
+    report.stopped = shared_->thread_ended.wait_for(lock, limit, [&] { return shared_->ended; });
     if (!report.stopped) {
         const std::vector<WriteToken> late = shared_->drop_queue();
         report.abandoned.insert(report.abandoned.end(), late.begin(), late.end());
--- a/src/storage/disk_writer.h
+++ b/src/storage/disk_writer.h
@@ -1,6 +1,6 @@
-// Writes of a replica's store on a thread of their own, since the disk takes milliseconds and at times
-// seconds, while the loop has to go on. The thread sleeps until there is work and never wakes by itself.
-// Batches that queue while one is being synced become one write.
+// Runs the writes of a replica's store on a thread of its own, because a disk write takes milliseconds and
+// sometimes seconds, while the owner's event loop must not block. The thread sleeps while there is no work;
+// it does not poll. Batches that queue up while one is being synced are merged into one write.
 #pragma once
 
 #include <chrono>
@@ -16,59 +16,62 @@
 
 namespace dewweir::storage {
 
-using WriteToken = std::uint64_t;  // the owner's name for a batch
+// Chosen by the owner to identify a batch.
+using WriteToken = std::uint64_t;
 
 struct WriteCompletion {
     WriteToken token = 0;
-    WriteResult result;  // of the write that held this batch; one invalid batch fails all that joined it
+    // Result of the write that contained this batch. One invalid batch fails all batches merged with it.
+    WriteResult result;
 };
 
 enum class StopMode {
-    flush,    // what is queued is written, within the bound
-    abandon,  // what is queued is dropped; the write under way goes on
+    flush,    // queued batches are written, as far as the time limit allows
+    abandon,  // queued batches are dropped; a write in progress continues
 };
 
 struct StopReport {
-    bool stopped = false;               // the thread has ended; else it hangs in the disk
-    std::vector<WriteToken> abandoned;  // never begun, and not told to the handler
-    std::vector<WriteToken> unknown;    // begun and not ended
+    bool stopped = false;               // the thread has ended; otherwise it is blocked on the disk
+    std::vector<WriteToken> abandoned;  // never started; the handler is not called for them
+    std::vector<WriteToken> unknown;    // started but not finished: they may or may not be on disk
 };
 
 class DiskWriter {
   public:
-    using Moment = std::chrono::steady_clock::time_point;
-    // Has the owner's loop run a function; called on the writer's thread.
+    using TimePoint = std::chrono::steady_clock::time_point;
+    // Schedules a function on the owner's event loop; called on the writer's thread.
     using Poster = std::function<void(std::function<void()>)>;
     using CompletionHandler = std::function<void(const WriteCompletion&)>;
     using OpenHandler = std::function<void(OpenResult)>;
 
-    // Handlers run on the owner's loop through `poster`, in the order of the calls, and never after the
-    // destructor, which runs on that loop too. While this runs, nobody else uses the store but for
-    // approximate_bytes.
+    // Handlers run on the owner's event loop through `poster`, in the order of the calls, and never after the
+    // destructor, which must run on that loop as well. While the writer exists, nothing else may use the
+    // store, except for approximate_bytes().
     DiskWriter(std::shared_ptr<ReplicaStore> store, Poster poster, CompletionHandler handler);
-    // Abandons, waits for destructor_wait, then leaves the thread behind with the store that it holds.
+    // Abandons queued batches and waits up to destructor_wait. A thread that is still blocked on the disk is
+    // detached and keeps the store alive.
     ~DiskWriter();
     DiskWriter(const DiskWriter&) = delete;
     DiskWriter& operator=(const DiskWriter&) = delete;
 
     static constexpr std::chrono::milliseconds destructor_wait{100};
 
-    // None of these waits for the disk. After a stop they do nothing.
-    void submit(WriteBatch batch, WriteToken token, Moment now);
-    // Opens the store, also again after a write that failed: batches submitted before that fail with
-    // needs_reopen.
-    void open(std::string folder, OpenHandler handler, Moment now);
+    // submit() and open() do not wait for the disk. After stop() they do nothing.
+    void submit(WriteBatch batch, WriteToken token, TimePoint now);
+    // Opens the store, or opens it again after a failed write; batches submitted between the failure and this
+    // call fail with WriteFault::needs_reopen.
+    void open(std::string folder, OpenHandler handler, TimePoint now);
 
-    // How long the oldest call that the disk has not ended has waited; nothing where there is none.
-    std::optional<std::chrono::milliseconds> oldest_pending_since(Moment now) const;
+    // Time since the oldest unfinished call was submitted; none if all calls have finished.
+    std::optional<std::chrono::milliseconds> oldest_pending_age(TimePoint now) const;
 
-    // Waits for at most `bound`. May be called again where the thread has not ended.
-    StopReport stop(StopMode mode, std::chrono::milliseconds bound);
+    // Waits up to `limit` for the thread to end. May be called again if it has not ended.
+    StopReport stop(StopMode mode, std::chrono::milliseconds limit);
 
   private:
     struct Shared;
 
-    std::shared_ptr<Shared> shared_;  // outlives this while the thread hangs
+    std::shared_ptr<Shared> shared_;  // outlives this object while the thread is blocked
     std::thread thread_;
 };
 
--- a/src/storage/durable_env.h
+++ b/src/storage/durable_env.h
@@ -1,12 +1,13 @@
-// LevelDB's environment, made to keep names after a loss of power. It must not buffer or delay anything.
+// A LevelDB environment that makes renames durable, so that the database survives a power loss. It must not
+// buffer or delay anything.
 //
-// On this disk a file's own sync makes its name last, but a renamed or removed name lasts only once its
-// folder has been synced, and until then each such change may last without the others. LevelDB syncs the
-// folder before it syncs a manifest, but not after it has renamed CURRENT. Then it removes the old manifest
-// and the old log, so a loss of power may leave the old CURRENT, naming a manifest that is gone (the database
-// does not open) or one whose log is gone (what was acknowledged is silently missing). Here the folder is
-// synced after each rename. Removals need none: a file that comes back is one that LevelDB knows to be
-// obsolete.
+// On the target file system, syncing a file makes its name durable, but a rename or removal is durable only
+// once its folder is synced; until then each such change may survive a power loss without the others. LevelDB
+// syncs the folder before it syncs a manifest, but not after it has renamed CURRENT. It then removes the old
+// manifest and the old log, so that a power loss may restore the old CURRENT, which names either a removed
+// manifest (the database does not open) or one whose log is removed (acknowledged writes are silently lost).
+// This environment syncs the folder after each rename. Removals need no sync: LevelDB recognizes a file that
+// reappears as obsolete.
 #pragma once
 
 #include <leveldb/env.h>
@@ -16,10 +17,11 @@
 
 namespace dewweir::storage {
 
-// Syncs the names in a folder.
+// Makes the names in a folder durable.
 using SyncFolder = std::function<leveldb::Status(const std::string& folder)>;
 
-leveldb::Status sync_folder_of_system(const std::string& folder);
+// Syncs the folder by fsync().
+leveldb::Status fsync_folder(const std::string& folder);
 
 class DurableEnv : public leveldb::EnvWrapper {
   public:
@@ -27,11 +29,12 @@
 
     leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
 
-    // Makes `folder` where it is missing; its own name lasts when this returns.
+    // Creates `folder` if it is missing and makes its name durable.
     leveldb::Status ensure_folder(const std::string& folder);
-    // Removes all files in `folder`. Begun, it is finished by finish_discard after any end of the process or
-    // loss of power, so that no part of the old files is ever taken for a whole.
+    // Removes all files in `folder`. If the process ends or power is lost midway, finish_discard completes
+    // the removal, so that the remaining files are never mistaken for a complete database.
     leveldb::Status discard_files(const std::string& folder);
+    // Completes an interrupted discard_files; does nothing if there is none.
     leveldb::Status finish_discard(const std::string& folder);
 
   private:
--- a/src/storage/keys.cpp
+++ b/src/storage/keys.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t number_digits = 20;  // of the largest number of 64 bits
+constexpr std::size_t number_digits = 20;  // of the largest 64-bit number
 
 std::string numbered(std::string_view prefix, std::uint64_t number) {
     const std::string digits = std::to_string(number);
@@ -20,10 +20,10 @@
 
 std::string entry(consensus::Index index) { return numbered(entry_prefix, index); }
 
-std::string chunks_of(std::uint64_t generation) { return numbered(chunk_prefix, generation) + "/"; }
+std::string generation_prefix(std::uint64_t generation) { return numbered(chunk_prefix, generation) + "/"; }
 
 std::string chunk(std::uint64_t generation, std::uint64_t number) {
-    return numbered(chunks_of(generation), number);
+    return numbered(generation_prefix(generation), number);
 }
 
 std::string write_marker(std::uint64_t number) { return numbered(write_prefix, number); }
--- a/src/storage/log_format.cpp
+++ b/src/storage/log_format.cpp
@@ -10,18 +10,19 @@
 namespace {
 
 constexpr std::size_t block_bytes = 32768;
-constexpr std::size_t header_bytes = 7;  // checksum of 4, length of 2, type
+constexpr std::size_t header_bytes = 7;  // checksum (4 bytes), length (2), type (1)
 constexpr std::size_t length_at = 4;
 constexpr std::size_t type_at = 6;
-constexpr std::uint32_t polynomial = 0x82f63b78;  // of CRC-32C, bits reversed
-constexpr std::uint32_t mask_delta = 0xa282ead8;
+constexpr std::uint32_t polynomial = 0x82f63b78;  // of CRC-32C, bit-reversed
+constexpr std::uint32_t mask_delta = 0xa282ead8;  // LevelDB stores masked checksums
 
+// A record is stored in one physical record (full), or in several: first, any number of middle, last.
 enum class RecordType : std::uint8_t { full = 1, first = 2, middle = 3, last = 4 };
 
 struct PhysicalRecord {
     RecordType type = RecordType::full;
     std::string_view payload;
-    std::size_t end = 0;
+    std::size_t end = 0;  // offset in the log
 };
 
 constexpr std::array<std::uint32_t, 256> make_crc_table() {
@@ -52,7 +53,7 @@
     return number;
 }
 
-// The record at `offset`, where it is whole.
+// The physical record at `offset`; none if it is incomplete or corrupt.
 std::optional<PhysicalRecord> record_at(std::string_view bytes, std::size_t offset) {
     const std::size_t block_end = std::min(bytes.size(), (offset / block_bytes + 1) * block_bytes);
     if (offset + header_bytes > block_end) return std::nullopt;
@@ -62,7 +63,7 @@
     if (end > block_end) return std::nullopt;
     if (type < RecordType::full || type > RecordType::last) return std::nullopt;
     const bool continued = type == RecordType::first || type == RecordType::middle;
-    if (continued && end % block_bytes != 0) return std::nullopt;  // it would have taken all of its block
+    if (continued && end % block_bytes != 0) return std::nullopt;  // it would have filled its block
     const std::string_view checked = bytes.substr(offset + type_at, 1 + length);
     if (masked(crc32c(checked)) != number_at(bytes, offset, length_at)) return std::nullopt;
     return PhysicalRecord{type, checked.substr(1), end};
@@ -78,7 +79,7 @@
     return record.type == RecordType::full || record.type == RecordType::last;
 }
 
-// A block's last bytes are left empty where they are too few for a header.
+// The end of a block is padding if it has too few bytes for a header.
 std::size_t skip_trailer(std::size_t offset) {
     const std::size_t left = block_bytes - offset % block_bytes;
     return left < header_bytes ? offset + left : offset;
@@ -92,7 +93,7 @@
     bool within = false;
     std::size_t offset = 0;
     while (const auto record = record_at(bytes, offset)) {
-        if (begins(record->type) == within) break;  // a part of a record is missing
+        if (begins(record->type) == within) break;  // a physical record is missing
         parts += record->payload;
         within = !ends(*record);
         offset = skip_trailer(record->end);
@@ -105,8 +106,8 @@
     return content;
 }
 
-bool altered_within(std::string_view bytes, const LogContent& content) {
-    // A record, or its first part, anywhere behind the start of the one that is not whole.
+bool has_corrupt_record(std::string_view bytes, const LogContent& content) {
+    // Looks for the start of a record at any offset behind the start of the invalid one.
     for (std::size_t offset = content.next + 1; offset < bytes.size(); ++offset) {
         if (!has_first_type(bytes, offset)) continue;
         if (record_at(bytes, offset)) return true;
--- a/src/storage/log_format.h
+++ b/src/storage/log_format.h
@@ -1,5 +1,5 @@
-// LevelDB's log format, of which a manifest is one: blocks of 32 KiB with records that never cross a block,
-// each with a masked CRC-32C of its type and payload. Source: LevelDB's doc/log_format.md.
+// Reads LevelDB's log format, which its manifest uses as well: blocks of 32 KiB; physical records that never
+// cross a block, each with a masked CRC-32C of its type and payload. Source: LevelDB's doc/log_format.md.
 #pragma once
 
 #include <cstddef>
@@ -9,16 +9,17 @@
 
 namespace dewweir::storage {
 
+// Offsets are in bytes from the start of the log.
 struct LogContent {
-    std::vector<std::string> records;  // whole ones, up to the first that is not
-    std::size_t end = 0;               // where the last of them ends
-    std::size_t next = 0;              // where the one after it begins
+    std::vector<std::string> records;  // the valid records before the first incomplete or corrupt one
+    std::size_t end = 0;               // end of the last valid record
+    std::size_t next = 0;              // start of the record after it
 };
 
 LogContent read_log(std::string_view bytes);
 
-// Whether a record that is not whole is followed by another. A loss of power leaves none such, since each
-// record is synced before the next one is written: something that was synced has been altered.
-bool altered_within(std::string_view bytes, const LogContent& content);
+// Whether a valid record follows the first invalid one. A power loss cannot cause this, since each record is
+// synced before the next one is written: a record that had been synced is corrupt.
+bool has_corrupt_record(std::string_view bytes, const LogContent& content);
 
 }  // namespace dewweir::storage
--- a/src/storage/manifest_tail.cpp
+++ b/src/storage/manifest_tail.cpp
@@ -15,7 +15,7 @@
 
 using leveldb::Status;
 
-// The numbers by which a change names its fields; their layout follows in brackets.
+// Field tags of a version edit, with the layout of the field's value in brackets.
 enum class EditField : std::uint64_t {
     comparator = 1,       // [text]
     log_number = 2,       // [number]
@@ -27,14 +27,15 @@
     previous_log = 9,     // [number]
 };
 
+// Parses one version edit.
 class EditReader {
   public:
     explicit EditReader(std::string_view edit) : left_(edit) {}
 
-    // The log that the change names; nothing where it names none or is not understood.
+    // The log number in the edit; none if the edit contains none or cannot be parsed.
     std::optional<std::uint64_t> log_number() {
         std::optional<std::uint64_t> log;
-        while (!left_.empty() && understood_) {
+        while (!left_.empty() && valid_) {
             const auto field = static_cast<EditField>(number());
             if (field == EditField::log_number) {
                 log = number();
@@ -42,7 +43,7 @@
                 skip(field);
             }
         }
-        return understood_ ? log : std::nullopt;
+        return valid_ ? log : std::nullopt;
     }
 
   private:
@@ -60,7 +61,7 @@
                 text();
                 return text();
         }
-        understood_ = false;
+        valid_ = false;
     }
 
     void numbers(int count) {
@@ -69,11 +70,11 @@
 
     void text() {
         const std::uint64_t length = number();
-        if (length > left_.size()) understood_ = false;
+        if (length > left_.size()) valid_ = false;
         left_.remove_prefix(std::min<std::size_t>(length, left_.size()));
     }
 
-    // Seven bits a byte, the lowest first; the top bit is set on all but the last.
+    // Varint: seven bits per byte, lowest first; the top bit is set in all bytes but the last.
     std::uint64_t number() {
         std::uint64_t value = 0;
         for (unsigned shift = 0; shift < 64 && !left_.empty(); shift += 7) {
@@ -82,12 +83,12 @@
             value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
             if ((byte & 0x80) == 0) return value;
         }
-        understood_ = false;
+        valid_ = false;
         return 0;
     }
 
     std::string_view left_;
-    bool understood_ = true;
+    bool valid_ = true;
 };
 
 std::string log_name(std::uint64_t number) {
@@ -96,6 +97,7 @@
     return name;
 }
 
+// Whether the log named by the last valid edit exists.
 bool latest_log_exists(leveldb::Env& env, const std::string& folder, const LogContent& content) {
     std::optional<std::uint64_t> latest;
     for (const std::string& record : content.records) {
@@ -105,24 +107,24 @@
     return latest && env.FileExists(folder + log_name(*latest));
 }
 
-// LevelDB removes a file of this name if a loss of power leaves it behind.
-std::string scratch_name(const std::string& folder) { return folder + "/000000.dbtmp"; }
+// LevelDB removes a file of this name if a power loss leaves it behind.
+std::string temporary_name(const std::string& folder) { return folder + "/000000.dbtmp"; }
 
 Status replace_file(leveldb::Env& env, const std::string& folder, const std::string& name,
                     std::string_view bytes) {
-    const std::string scratch = scratch_name(folder);
+    const std::string temporary = temporary_name(folder);
     leveldb::WritableFile* opened = nullptr;
-    Status status = env.NewWritableFile(scratch, &opened);
+    Status status = env.NewWritableFile(temporary, &opened);
     if (!status.ok()) return status;
     const std::unique_ptr<leveldb::WritableFile> file(opened);
     status = file->Append(leveldb::Slice(bytes.data(), bytes.size()));
     if (status.ok()) status = file->Sync();
     if (status.ok()) status = file->Close();
-    if (status.ok()) status = env.RenameFile(scratch, name);
+    if (status.ok()) status = env.RenameFile(temporary, name);
     return status;
 }
 
-// Gives no name where there is no manifest or CURRENT is not understood.
+// Leaves `name` empty if there is no manifest or CURRENT cannot be parsed.
 Status find_manifest(leveldb::Env& env, const std::string& folder, std::optional<std::string>& name) {
     const std::string current = folder + "/CURRENT";
     if (!env.FileExists(current)) return Status::OK();
@@ -136,7 +138,7 @@
 
 }  // namespace
 
-Status cut_torn_manifest_tail(leveldb::Env& env, const std::string& folder) {
+Status repair_manifest_tail(leveldb::Env& env, const std::string& folder) {
     std::optional<std::string> manifest;
     Status status = find_manifest(env, folder, manifest);
     if (!status.ok() || !manifest) return status;
@@ -145,7 +147,7 @@
     if (!status.ok()) return status;
     const LogContent content = read_log(bytes);
     if (content.end == bytes.size()) return Status::OK();
-    if (altered_within(bytes, content)) return Status::OK();
+    if (has_corrupt_record(bytes, content)) return Status::OK();
     if (!latest_log_exists(env, folder, content)) return Status::OK();
     return replace_file(env, folder, *manifest, std::string_view(bytes).substr(0, content.end));
 }
--- a/src/storage/manifest_tail.h
+++ b/src/storage/manifest_tail.h
@@ -1,14 +1,15 @@
-// Cuts what a loss of power left of an unsynced change at the end of LevelDB's manifest.
+// Repairs LevelDB's manifest after a power loss: removes an incomplete, unsynced version edit at its end.
 //
-// LevelDB reads its manifest strictly: a last record that is torn with its length kept makes it refuse the
-// database, though the change was never acknowledged and all files from before it are there. Where every
-// machine loses power at once, such a refusal on a majority would lose what they had acknowledged.
+// LevelDB reads its manifest strictly: if the last record is only partly written but has its full length,
+// LevelDB refuses to open the database, although the edit was never acknowledged and all earlier files are
+// intact. If all machines lose power at once, such a refusal on a majority of them would lose acknowledged
+// writes.
 //
-// A record is cut only where nothing whole follows it and the log that the change before it names still
-// exists: LevelDB removes that log once a later change is synced. All else stays as it is, for LevelDB to
-// refuse.
+// A record is removed only if no valid record follows it and the log named by the edit before it still
+// exists: LevelDB removes that log once a later edit is synced. In all other cases the manifest is left
+// unchanged, and LevelDB decides whether to open it.
 //
-// Source of the formats: LevelDB's doc/log_format.md, and version_edit.cc for the fields of a change.
+// Source of the formats: LevelDB's doc/log_format.md, and version_edit.cc for the fields of a version edit.
 #pragma once
 
 #include <leveldb/env.h>
@@ -17,8 +18,8 @@
 
 namespace dewweir::storage {
 
-// Does nothing where the manifest is whole or can't be told. An error where the disk refuses; the old
-// manifest then stands. `env` has to sync the folder after a rename (durable_env.h).
-leveldb::Status cut_torn_manifest_tail(leveldb::Env& env, const std::string& folder);
+// Does nothing if the manifest is intact or cannot be read with certainty. Returns an error if the disk
+// fails; the manifest is then unchanged. `env` has to sync the folder after a rename (durable_env.h).
+leveldb::Status repair_manifest_tail(leveldb::Env& env, const std::string& folder);
 
 }  // namespace dewweir::storage
--- a/src/storage/replica_store.cpp
+++ b/src/storage/replica_store.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-constexpr std::size_t largest_value_bytes = 64 * 1024;
-constexpr std::size_t chunk_bytes = largest_value_bytes - seal_bytes;
-constexpr std::uint64_t chunks_a_write = 4;       // bounds what a snapshot adds to the memory in use
-constexpr std::size_t cache_bytes = 32 * 1024;    // the log is read at the start alone
-constexpr std::size_t table_bytes = 1024 * 1024;  // the least that LevelDB takes
-constexpr int open_files = 30;                    // LevelDB takes 74 or more
+constexpr std::size_t max_value_bytes = 64 * 1024;
+constexpr std::size_t chunk_bytes = max_value_bytes - value_header_bytes;
+constexpr std::uint64_t chunks_per_write = 4;              // bounds the memory that writing a snapshot takes
+constexpr std::size_t block_cache_bytes = 32 * 1024;       // the log is read only at the start
+constexpr std::size_t max_table_file_bytes = 1024 * 1024;  // LevelDB's minimum
+constexpr int max_open_table_files = 30;                   // LevelDB raises it to its minimum of 74
 
 constexpr std::string_view log_suffix = ".log";
 constexpr std::string_view table_suffix = ".ldb";
 
-// LevelDB would write its doings to a file of its own, which costs writes.
+// Suppresses LevelDB's log file, which would cost additional writes.
 class SilentLogger : public leveldb::Logger {
   public:
     void Logv(const char*, std::va_list) override {}
@@ -31,7 +31,7 @@
 leveldb::Slice slice(std::string_view text) { return leveldb::Slice(text.data(), text.size()); }
 
 void put(leveldb::WriteBatch& batch, std::string_view key, std::string_view body) {
-    batch.Put(slice(key), seal(key, body));
+    batch.Put(slice(key), frame_value(key, body));
 }
 
 void put_chunk(leveldb::WriteBatch& batch, const std::string& data, std::uint64_t generation,
@@ -54,7 +54,7 @@
     : options_(std::move(options)),
       env_(options_.env, options_.sync_folder),
       log_(std::make_unique<SilentLogger>()),
-      cache_(leveldb::NewLRUCache(cache_bytes)) {}
+      cache_(leveldb::NewLRUCache(block_cache_bytes)) {}
 
 ReplicaStore::~ReplicaStore() = default;
 
@@ -86,32 +86,32 @@
     if (status.ok()) status = env_.finish_discard(folder_);
     if (!status.ok()) return NoState{NoStateReason::io_error, folder_, status.ToString()};
     if (auto reason = check_files()) return reason;
-    status = cut_torn_manifest_tail(env_, folder_);
-    if (!status.ok()) return no_state_of(status, folder_);
+    status = repair_manifest_tail(env_, folder_);
+    if (!status.ok()) return no_state_from(status, folder_);
     leveldb::Options options;
     options.env = &env_;
     options.info_log = log_.get();
     options.block_cache = cache_.get();
     options.create_if_missing = true;
     options.write_buffer_size = options_.write_buffer_bytes;
-    options.max_file_size = table_bytes;
-    options.max_open_files = open_files;
+    options.max_file_size = max_table_file_bytes;
+    options.max_open_files = max_open_table_files;
     options.compression = leveldb::kNoCompression;
     leveldb::DB* opened = nullptr;
     status = leveldb::DB::Open(options, folder_, &opened);
     database_.reset(opened);
-    if (!status.ok()) return no_state_of(status, folder_);
+    if (!status.ok()) return no_state_from(status, folder_);
     return std::nullopt;
 }
 
-// What LevelDB would pass over.
+// Detects corruption that LevelDB would ignore.
 std::optional<NoState> ReplicaStore::check_files() {
     std::vector<std::string> names;
     const leveldb::Status listed = env_.GetChildren(folder_, &names);
     if (!listed.ok()) return NoState{NoStateReason::io_error, folder_, listed.ToString()};
     const std::string current = folder_ + "/CURRENT";
     const bool has_files = std::any_of(names.begin(), names.end(), is_database_file);
-    // LevelDB would start anew over the files.
+    // Without CURRENT, LevelDB would create a new database over the existing files.
     if (has_files && !env_.FileExists(current)) return NoState{NoStateReason::corrupt, current, "missing"};
     for (const std::string& name : names) {
         if (!name.ends_with(log_suffix)) continue;
@@ -120,21 +120,21 @@
     return std::nullopt;
 }
 
-// LevelDB drops a record that is not whole with all that follows it in its block.
+// LevelDB silently drops a corrupt record and all records after it in its block.
 std::optional<NoState> ReplicaStore::check_log(const std::string& name) {
     std::string bytes;
     const leveldb::Status status = leveldb::ReadFileToString(&env_, name, &bytes);
-    if (!status.ok()) return no_state_of(status, name);
-    if (!altered_within(bytes, read_log(bytes))) return std::nullopt;
-    return NoState{NoStateReason::corrupt, name, "a record that was synced is not whole"};
+    if (!status.ok()) return no_state_from(status, name);
+    if (!has_corrupt_record(bytes, read_log(bytes))) return std::nullopt;
+    return NoState{NoStateReason::corrupt, name, "a synced record is incomplete or corrupt"};
 }
 
 WriteResult ReplicaStore::write(const WriteBatch& batch) {
     if (!database_) return WriteError{WriteFault::not_open, folder_};
     if (failed_) return WriteError{WriteFault::needs_reopen, folder_};
     if (auto error = check(batch)) return error;
-    const std::uint64_t generation =
-        last_write_ + 1;  // of this snapshot's chunks; no earlier one has this number
+    // Identifies this snapshot's chunks; unique, since write numbers only increase.
+    const std::uint64_t generation = last_write_ + 1;
     if (batch.snapshot) {
         if (auto error = write_chunks(*batch.snapshot, generation)) return error;
     }
@@ -153,42 +153,44 @@
 }
 
 WriteResult ReplicaStore::check(const WriteBatch& batch) const {
-    if (!has_self_ && !batch.self) return invalid("the first write needs self");
+    if (!has_self_ && !batch.self) return invalid("the first write must contain self");
     if (batch.self && batch.self->id == 0) return invalid("self has id 0");
-    consensus::Index start = range_.first - 1;  // of the snapshot
+    consensus::Index start = range_.first - 1;  // the snapshot's index
     consensus::Index last = range_.last;
-    if (batch.truncate_from && *batch.truncate_from <= start) return invalid("truncates its snapshot");
+    if (batch.truncate_from && *batch.truncate_from <= start)
+        return invalid("truncates entries covered by the snapshot");
     if (batch.truncate_from) last = std::min(last, *batch.truncate_from - 1);
     if (batch.snapshot && batch.snapshot->index < std::max<consensus::Index>(start, 1)) {
         return invalid("the snapshot is older than the one stored");
     }
     if (batch.snapshot) last = std::max(last, batch.snapshot->index);
     if (batch.snapshot) start = batch.snapshot->index;
-    consensus::Index before = 0;  // the entry before in this batch
+    consensus::Index before = 0;  // the previous entry in this batch
     for (const consensus::Entry& entry : batch.append) {
         if (before != 0 && entry.index != before + 1) return invalid("a gap in the entries");
-        if (entry.index > start && entry.index != last + 1) return invalid("entries don't follow the log");
+        if (entry.index > start && entry.index != last + 1)
+            return invalid("the entries do not follow the stored log");
         last = std::max(last, entry.index);
         before = entry.index;
     }
     return std::nullopt;
 }
 
-// Not seen by anybody until the header is written; several small writes, so that a large snapshot is no huge
-// one.
+// Writes the snapshot's data in several small writes, so that a large snapshot does not become one huge
+// write. The chunks take effect only when the header is written.
 WriteResult ReplicaStore::write_chunks(const consensus::Snapshot& snapshot, std::uint64_t generation) {
     const std::uint64_t count = chunks_for(snapshot.data);
     std::uint64_t number = 0;
     while (number < count) {
         leveldb::WriteBatch chunks;
-        const std::uint64_t end = std::min(count, number + chunks_a_write);
+        const std::uint64_t end = std::min(count, number + chunks_per_write);
         for (; number < end; ++number) put_chunk(chunks, snapshot.data, generation, number);
         if (auto error = commit(chunks)) return error;
     }
     return std::nullopt;
 }
 
-// Each LevelDB write goes through here: synced, and with its marker.
+// Performs one LevelDB write, synced and with its marker. All writes go through here.
 WriteResult ReplicaStore::commit(leveldb::WriteBatch& batch) {
     const std::uint64_t number = last_write_ + 1;
     put(batch, keys::write_marker(number), {});
@@ -200,7 +202,7 @@
         last_write_ = number;
         return std::nullopt;
     }
-    // LevelDB's log may now end in half a record, behind which nothing would be read.
+    // LevelDB's log may now end with an incomplete record; anything written after it would not be read back.
     failed_ = true;
     return WriteError{WriteFault::io_error, status.ToString()};
 }
@@ -228,7 +230,7 @@
     header.chunks = chunks_for(snapshot.data);
     header.bytes = snapshot.data.size();
     put(batch, keys::snapshot, encode(header));
-    snapshot_ = std::move(header);  // also where the commit fails: another open then reads what is stored
+    snapshot_ = std::move(header);  // also if the commit fails: the store is then reopened and reads it again
 }
 
 void ReplicaStore::append(const std::vector<consensus::Entry>& entries, leveldb::WriteBatch& batch,
@@ -251,7 +253,7 @@
     if (!status.ok()) return NoState{NoStateReason::io_error, folder_, status.ToString()};
     OpenResult opened = open(folder_);
     if (auto* reason = std::get_if<NoState>(&opened)) return std::move(*reason);
-    return NoState{NoStateReason::corrupt, folder_, "holds a state after it was discarded"};
+    return NoState{NoStateReason::corrupt, folder_, "the store still holds a state after it was discarded"};
 }
 
 std::uint64_t ReplicaStore::approximate_bytes() {
--- a/src/storage/replica_store.h
+++ b/src/storage/replica_store.h
@@ -1,21 +1,26 @@
-// The package `storage` owns the durable state of one replica of the replicated log, in one folder, by
-// LevelDB. It must never tell a write done before it is synced, never show a part of one as whole, never mend
-// or guess: a store that is not whole is refused, with the place, and the replica rejoins as a new one.
+// The durable state of one replica of the replicated log, stored by LevelDB in one folder. The package
+// `storage` must never report a write as done before it is synced, never expose a partial write, and never
+// repair or guess lost data: it refuses to open an incomplete store and reports where the problem is, and the
+// replica rejoins the group with a new id.
 //
-// What a loss of power leaves, as tests/storage/power_loss_test.cpp shows by a cut at each operation:
-// - Each LevelDB write is synced, so only the last one, not yet acknowledged, can be torn; it is there whole
-//   or not at all. LevelDB drops a torn end of its log silently. It drops a record altered anywhere else as
-//   silently, with what follows it: therefore the log is checked before LevelDB reads it, and each write
-//   leaves a marker with its number and deletes the marker of the write before. If one in the middle is lost,
-//   its own deletion is too, two markers remain, and the store is refused. The last write, altered, can't be
-//   told from one that was torn.
-// - LevelDB renames CURRENT without a sync of the folder. Its own environment alone loses acknowledged writes
-//   here, or no longer opens; durable_env.h syncs the folder after each rename.
-// - A removed file may come back: LevelDB removes it again.
-// - A manifest's torn end makes LevelDB refuse the store, though nothing acknowledged is missing: it is cut,
-//   see manifest_tail.h.
+// Effects of a power loss, which tests/storage/power_loss_test.cpp verifies for each disk operation:
+// - Each LevelDB write is synced, so only the last one, which is not yet acknowledged, can be incomplete.
+// LevelDB
+//   silently drops an incomplete record at the end of its log, so that write is present completely or not at
+//   all. LevelDB drops a corrupt record elsewhere just as silently, with all records after it. Therefore the
+//   log is checked before LevelDB reads it, and each write stores a marker with its number and deletes the
+//   marker of the previous write: if a write in the middle is lost, so is its deletion, two markers remain,
+//   and the store is refused. A corrupt last write cannot be distinguished from an incomplete one.
+// - LevelDB renames CURRENT without syncing the folder. With LevelDB's default environment, acknowledged
+// writes
+//   are lost or the database no longer opens; durable_env.h syncs the folder after each rename.
+// - A removed file may reappear; LevelDB removes it again.
+// - LevelDB refuses to open a database whose manifest has an incomplete end, although no acknowledged write
+// is
+//   missing; manifest_tail.h removes that end.
 //
-// The disk has no links and its locks do nothing: one process, one store for a folder.
+// The target file system has no links and its locks have no effect: a folder must be used by only one store
+// of one process.
 #pragma once
 
 #include <leveldb/cache.h>
@@ -38,10 +43,10 @@
 namespace dewweir::storage {
 
 enum class WriteFault {
-    not_open,       // before open, or after one that was refused
-    invalid_batch,  // nothing was written: the caller's mistake, such as a gap in the log
+    not_open,       // nothing was written: the store is not open
+    invalid_batch,  // nothing was written: the caller's error, such as a gap in the log
     needs_reopen,   // nothing was written: an earlier write failed
-    io_error,       // the disk refused; whether the batch is there, only another open tells
+    io_error,       // the disk failed; whether the batch is stored is known only after the next open
 };
 
 struct WriteError {
@@ -49,17 +54,19 @@
     std::string what;
 };
 
-using WriteResult = std::optional<WriteError>;  // nothing where the batch is synced
+// No error: the batch is synced.
+using WriteResult = std::optional<WriteError>;
 using OpenResult = std::variant<consensus::PersistentState, NoState>;
 
 struct ReplicaStoreOptions {
     leveldb::Env* env = leveldb::Env::Default();  // not owned
-    SyncFolder sync_folder = sync_folder_of_system;
-    // Of LevelDB's table in memory, of which there are at times two. LevelDB takes 64 KiB or more.
+    SyncFolder sync_folder = fsync_folder;
+    // Size of LevelDB's in-memory table; at times there are two tables. LevelDB's minimum is 64 KiB.
     std::size_t write_buffer_bytes = 256 * 1024;
 };
 
-// All calls block on the disk and come from one thread at a time; approximate_bytes alone may come from any.
+// All calls block on the disk and must come from one thread at a time, except that approximate_bytes() may be
+// called from any thread.
 class ReplicaStore {
   public:
     explicit ReplicaStore(ReplicaStoreOptions options = {});
@@ -67,21 +74,24 @@
     ReplicaStore(const ReplicaStore&) = delete;
     ReplicaStore& operator=(const ReplicaStore&) = delete;
 
-    // Reads and checks all. Makes the folder where it is missing; its parent has to be there. The store takes
-    // writes after a state or `empty`, else stays closed. Also opens again, after a write that failed.
+    // Reads and verifies the complete store. Creates the folder if it is missing; its parent must exist. The
+    // store accepts writes if the result is a state or NoStateReason::empty, otherwise it stays closed. Also
+    // reopens the store after a failed write.
     OpenResult open(const std::string& folder);
 
-    // The first write of an empty store has to hold `self`.
+    // The first write to an empty store must contain `self`.
     WriteResult write(const WriteBatch& batch);
 
-    // Starts an empty store in the folder of the last open; `empty` where that worked.
+    // Deletes everything and starts an empty store in the folder of the last open(). Returns
+    // NoStateReason::empty on success.
     NoState discard_all();
 
-    // Of the files in the folder; 0 where they can't be listed.
+    // Total size of the files in the folder; 0 if they cannot be listed.
     std::uint64_t approximate_bytes();
 
   private:
-    struct Range {  // of the log
+    // The entries of the log, `first` to `last`; empty if last is first - 1.
+    struct Range {
         consensus::Index first = 1;
         consensus::Index last = 0;
     };
@@ -105,12 +115,12 @@
     std::unique_ptr<leveldb::Cache> cache_;
     std::unique_ptr<leveldb::DB> database_;
     std::string folder_;
-    bool failed_ = false;    // a write has, since the last open
-    bool has_self_ = false;  // stored
-    Range range_;            // of the stored log
+    bool failed_ = false;    // a write has failed since the last open
+    bool has_self_ = false;  // `self` is stored
+    Range range_;            // the stored entries
     std::uint64_t last_write_ = 0;
-    std::optional<SnapshotHeader> snapshot_;    // stored
-    std::vector<std::string> orphaned_chunks_;  // deleted by the next write
+    std::optional<SnapshotHeader> snapshot_;    // the stored snapshot
+    std::vector<std::string> orphaned_chunks_;  // keys that the next write deletes
 };
 
 }  // namespace dewweir::storage
--- a/src/storage/state_loader.h
+++ b/src/storage/state_loader.h
@@ -1,4 +1,4 @@
-// Reads and checks all that a replica's store holds.
+// Reads and verifies the complete contents of a replica's store.
 #pragma once
 
 #include <leveldb/db.h>
@@ -16,32 +16,32 @@
 namespace dewweir::storage {
 
 enum class NoStateReason {
-    empty,    // nothing stored: a new disk, a discarded store, or a first write that was never whole
-    corrupt,  // altered, torn or missing: what was acknowledged may be gone
-    incompatible_version,  // written in another format
-    io_error,              // the disk refused; nothing is known of what is stored
+    empty,    // nothing is stored: a new disk, a discarded store, or a first write that was interrupted
+    corrupt,  // data is altered or missing: acknowledged writes may be lost
+    incompatible_version,  // the data is intact but in another format version
+    io_error,              // the disk failed; the contents of the store are unknown
 };
 
-// Why a store has no state to start from.
+// Why a store provides no state to start from.
 struct NoState {
     NoStateReason reason = NoStateReason::empty;
-    std::string where;  // a key or file; for an unreadable block, the last key read before it
-    std::string what;
+    std::string where;  // the key or file; for an unreadable block, the last key before it
+    std::string what;   // description of the problem, for the log
 };
 
 struct LoadedState {
     consensus::PersistentState state;
-    std::uint64_t last_write = 0;  // number of the last write; 0 before the first
+    std::uint64_t last_write = 0;  // number of the last write, 0 before the first
     std::optional<SnapshotHeader> snapshot;
-    std::vector<std::string> orphaned_chunks;  // keys of snapshots that were never finished
+    std::vector<std::string> orphaned_chunks;  // keys of chunks whose snapshot was never completed
 };
 
 using LoadResult = std::variant<LoadedState, NoState>;
 
-// `LoadedState` also for an empty store, with a `self` of id 0.
+// An empty store yields a LoadedState whose `self` has id 0.
 LoadResult load_state(leveldb::DB& database);
 
-// What a failure told by LevelDB means.
-NoState no_state_of(const leveldb::Status& status, std::string where);
+// Classifies an error reported by LevelDB.
+NoState no_state_from(const leveldb::Status& status, std::string where);
 
 }  // namespace dewweir::storage
--- a/src/storage/values.cpp
+++ b/src/storage/values.cpp
@@ -16,13 +16,13 @@
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
 constexpr std::size_t checksum_bytes = 8;
-constexpr unsigned bits_of_byte = 8;
+constexpr unsigned bits_per_byte = 8;
 constexpr std::uint32_t membership_fields = 4;
-// Stored before voters were exchanged in joint steps.
-constexpr std::uint32_t earlier_membership_fields = 2;
+// Stored by versions without joint consensus: voters and learners only.
+constexpr std::uint32_t legacy_membership_fields = 2;
 
 std::string checksum(std::string_view key, std::uint8_t version, std::string_view body) {
-    // The length of the key parts it from the version and the body.
+    // The length of the key separates it from the version and the body.
     std::string prefix = std::to_string(key.size()) + ":";
     prefix += key;
     prefix += static_cast<char>(version);
@@ -31,7 +31,7 @@
     std::string bytes;
     for (std::size_t i = 0; i < checksum_bytes; ++i) {
         bytes += static_cast<char>(hash & 0xff);
-        hash >>= bits_of_byte;
+        hash >>= bits_per_byte;
     }
     return bytes;
 }
@@ -52,19 +52,20 @@
     pack(packer, membership.voters);
     pack(packer, membership.learners);
     pack(packer, membership.outgoing);
-    packer.pack(membership.wanted_voters);
+    packer.pack(membership.target_voter_count);
 }
 
-std::string text_of(const msgpack::sbuffer& buffer) { return std::string(buffer.data(), buffer.size()); }
+std::string to_string(const msgpack::sbuffer& buffer) { return std::string(buffer.data(), buffer.size()); }
 
-// The fields of a msgpack array of exactly `count`; throws msgpack::type_error for another object.
-const msgpack::object* fields(const msgpack::object& object, std::uint32_t count) {
+// The elements of a msgpack array of exactly `count` elements; throws msgpack::type_error for any other
+// object.
+const msgpack::object* array_fields(const msgpack::object& object, std::uint32_t count) {
     if (object.type != msgpack::type::ARRAY || object.via.array.size != count) throw msgpack::type_error();
     return object.via.array.ptr;
 }
 
 Replica replica_from(const msgpack::object& object) {
-    const msgpack::object* field = fields(object, 2);
+    const msgpack::object* field = array_fields(object, 2);
     return Replica{field[0].as<consensus::ReplicaId>(), field[1].as<std::string>()};
 }
 
@@ -78,13 +79,14 @@
 }
 
 Membership membership_from(const msgpack::object& object) {
-    const bool earlier =
-        object.type == msgpack::type::ARRAY && object.via.array.size == earlier_membership_fields;
-    const msgpack::object* field = fields(object, earlier ? earlier_membership_fields : membership_fields);
+    const bool legacy =
+        object.type == msgpack::type::ARRAY && object.via.array.size == legacy_membership_fields;
+    const msgpack::object* field =
+        array_fields(object, legacy ? legacy_membership_fields : membership_fields);
     Membership membership{replicas_from(field[0]), replicas_from(field[1])};
-    if (earlier) return membership;
+    if (legacy) return membership;
     membership.outgoing = replicas_from(field[2]);
-    membership.wanted_voters = field[3].as<std::uint32_t>();
+    membership.target_voter_count = field[3].as<std::uint32_t>();
     return membership;
 }
 
@@ -94,12 +96,14 @@
     return static_cast<EntryKind>(number);
 }
 
-// What `read` makes of the one msgpack object in `body`.
+// Applies `read` to the only msgpack object in `body`; none if `body` is not exactly one object or `read`
+// throws msgpack::type_error.
 template <typename Read>
-auto decoded(std::string_view body, Read read) -> std::optional<decltype(read(msgpack::object()))> {
+auto decode_object(std::string_view body, Read read) -> std::optional<decltype(read(msgpack::object()))> {
     try {
         std::size_t offset = 0;
-        // Every entry takes a byte at least: nothing is laid out for more than there are bytes.
+        // Each element takes at least one byte, so the limits prevent allocations beyond the size of the
+        // body.
         const msgpack::unpack_limit limit(body.size(), body.size(), body.size(), body.size(), body.size());
         const msgpack::object_handle handle =
             msgpack::unpack(body.data(), body.size(), offset, nullptr, nullptr, limit);
@@ -112,19 +116,19 @@
 
 }  // namespace
 
-std::string seal(std::string_view key, std::string_view body, std::uint8_t version) {
+std::string frame_value(std::string_view key, std::string_view body, std::uint8_t version) {
     std::string value;
-    value.reserve(seal_bytes + body.size());
+    value.reserve(value_header_bytes + body.size());
     value += static_cast<char>(version);
     value += checksum(key, version, body);
     value += body;
     return value;
 }
 
-std::variant<std::string_view, ValueFault> unseal(std::string_view key, std::string_view value) {
-    if (value.size() < seal_bytes) return ValueFault::corrupt;
+std::variant<std::string_view, ValueFault> unframe_value(std::string_view key, std::string_view value) {
+    if (value.size() < value_header_bytes) return ValueFault::corrupt;
     const auto version = static_cast<std::uint8_t>(value[0]);
-    const std::string_view body = value.substr(seal_bytes);
+    const std::string_view body = value.substr(value_header_bytes);
     if (value.substr(1, checksum_bytes) != checksum(key, version, body)) return ValueFault::corrupt;
     if (version != format_version) return ValueFault::incompatible_version;
     return body;
@@ -134,7 +138,7 @@
     msgpack::sbuffer buffer;
     Packer packer(buffer);
     pack(packer, replica);
-    return text_of(buffer);
+    return to_string(buffer);
 }
 
 std::string encode(const HardState& state) {
@@ -144,7 +148,7 @@
     packer.pack(state.term);
     packer.pack(state.vote);
     packer.pack(state.commit);
-    return text_of(buffer);
+    return to_string(buffer);
 }
 
 std::string encode(const Entry& entry) {
@@ -156,7 +160,7 @@
     packer.pack(static_cast<std::uint8_t>(entry.kind));
     packer.pack(entry.payload);
     pack(packer, entry.membership);
-    return text_of(buffer);
+    return to_string(buffer);
 }
 
 std::string encode(const SnapshotHeader& header) {
@@ -169,14 +173,14 @@
     packer.pack(header.generation);
     packer.pack(header.chunks);
     packer.pack(header.bytes);
-    return text_of(buffer);
+    return to_string(buffer);
 }
 
-std::optional<Replica> decode_replica(std::string_view body) { return decoded(body, replica_from); }
+std::optional<Replica> decode_replica(std::string_view body) { return decode_object(body, replica_from); }
 
 std::optional<HardState> decode_hard_state(std::string_view body) {
-    return decoded(body, [](const msgpack::object& object) {
-        const msgpack::object* field = fields(object, 3);
+    return decode_object(body, [](const msgpack::object& object) {
+        const msgpack::object* field = array_fields(object, 3);
         HardState state;
         state.term = field[0].as<consensus::Term>();
         state.vote = field[1].as<consensus::ReplicaId>();
@@ -186,8 +190,8 @@
 }
 
 std::optional<Entry> decode_entry(std::string_view body) {
-    return decoded(body, [](const msgpack::object& object) {
-        const msgpack::object* field = fields(object, 5);
+    return decode_object(body, [](const msgpack::object& object) {
+        const msgpack::object* field = array_fields(object, 5);
         Entry entry;
         entry.term = field[0].as<consensus::Term>();
         entry.index = field[1].as<consensus::Index>();
@@ -199,8 +203,8 @@
 }
 
 std::optional<SnapshotHeader> decode_snapshot_header(std::string_view body) {
-    return decoded(body, [](const msgpack::object& object) {
-        const msgpack::object* field = fields(object, 6);
+    return decode_object(body, [](const msgpack::object& object) {
+        const msgpack::object* field = array_fields(object, 6);
         SnapshotHeader header;
         header.index = field[0].as<consensus::Index>();
         header.term = field[1].as<consensus::Term>();
--- a/src/storage/write_batch.cpp
+++ b/src/storage/write_batch.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr std::size_t entry_overhead_bytes = 64;  // key, checksum and small fields
+constexpr std::size_t entry_overhead_bytes = 64;  // estimate for key, checksum and small fields
 
 void truncate(WriteBatch& batch, consensus::Index from) {
     std::erase_if(batch.append, [from](const consensus::Entry& entry) { return entry.index >= from; });
-    // Also of what this batch has not written itself.
+    // The truncation also applies to entries that are stored already.
     batch.truncate_from = std::min(batch.truncate_from.value_or(from), from);
 }
 
--- a/tests/fuzz/stored_value.cpp
+++ b/tests/fuzz/stored_value.cpp
@@ -18,6 +18,6 @@
     if (const auto header = storage::decode_snapshot_header(bytes)) {
         fuzz::must_hold(storage::decode_snapshot_header(storage::encode(*header)).has_value());
     }
-    (void)storage::unseal("key", bytes);
+    (void)storage::unframe_value("key", bytes);
     return 0;
 }
--- a/tests/storage/disk_writer_test.cpp
+++ b/tests/storage/disk_writer_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr auto long_enough = 60s;  // never waited for where the code is right
-const DiskWriter::Moment start{};
+const DiskWriter::TimePoint start{};
 
 // Stands in for the owner's loop: functions posted to it run on the test's thread.
 class Loop {
@@ -73,7 +73,7 @@
         loop.run_until([&] { return completions.size() >= count; });
     }
 
-    void submit_entry(consensus::Index index, std::string payload = "entry", DiskWriter::Moment now = start) {
+    void submit_entry(consensus::Index index, std::string payload = "entry", DiskWriter::TimePoint now = start) {
         WriteBatch batch;
         batch.append = {command(index, 1, std::move(payload))};
         writer.submit(std::move(batch), index, now);
@@ -101,7 +101,7 @@
     const int before = env.syncs();
     for (consensus::Index index = 2; index <= 6; ++index) submit_entry(index, "entry", start + index * 1s);
     CHECK(completions.empty());
-    CHECK(writer.oldest_pending_since(start + 3s) == 3000ms);
+    CHECK(writer.oldest_pending_age(start + 3s) == 3000ms);
     env.release_syncs();
     await(6);
     CHECK(env.syncs() - before == 2);
@@ -110,7 +110,7 @@
         CHECK_FALSE(completions[i].result);
     }
     CHECK(writer.stop(StopMode::flush, long_enough).stopped);
-    CHECK_FALSE(writer.oldest_pending_since(start + 9s));
+    CHECK_FALSE(writer.oldest_pending_age(start + 9s));
     CHECK(stored_entries() == 6);
 }
 
--- a/tests/storage/memory_disk.cpp
+++ b/tests/storage/memory_disk.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t bits_a_byte = 8;
+constexpr std::size_t bits_per_byte = 8;
 
 void write_at(std::string& content, std::size_t offset, const std::string& bytes) {
     if (content.size() < offset + bytes.size()) content.resize(offset + bytes.size(), '\0');
@@ -147,8 +147,8 @@
 void MemoryDisk::flip_bit(const std::string& name, std::size_t bit) {
     DiskFile& file = files_.at(names_.at(name));
     std::string content = file.content();
-    char& flipped = content.at(bit / bits_a_byte);
-    flipped = static_cast<char>(flipped ^ (1U << (bit % bits_a_byte)));
+    char& flipped = content.at(bit / bits_per_byte);
+    flipped = static_cast<char>(flipped ^ (1U << (bit % bits_per_byte)));
     file.synced = std::make_shared<const std::string>(std::move(content));
     file.unsynced.clear();
 }
--- a/tests/storage/replica_store_test.cpp
+++ b/tests/storage/replica_store_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t bits_a_byte = 8;
+constexpr std::size_t bits_per_byte = 8;
 
 std::unique_ptr<ReplicaStore> opened(PowerLossEnv& env) {
     auto store = std::make_unique<ReplicaStore>(options_on(env));
@@ -115,7 +115,7 @@
     for (std::size_t at = 0; at < length; ++at) {
         PowerLossEnv flipped(env.disk());
         alter_value(flipped, key, [&](std::string& value) {
-            value[at] = static_cast<char>(value[at] ^ (1U << (at % bits_a_byte)));
+            value[at] = static_cast<char>(value[at] ^ (1U << (at % bits_per_byte)));
         });
         const NoState refusal = refusal_on(flipped);
         CHECK(refusal.reason == NoStateReason::corrupt);
@@ -140,7 +140,7 @@
     SECTION("a write between two others is missing") {
         named = keys::write_marker(10);  // the last one; the marker of the second should have gone
         const std::string left = keys::write_marker(2);
-        change(env, [&](leveldb::DB& database) { REQUIRE(database.Put({}, left, seal(left, "")).ok()); });
+        change(env, [&](leveldb::DB& database) { REQUIRE(database.Put({}, left, frame_value(left, "")).ok()); });
     }
     SECTION("unknown") {
         named = "name";
@@ -169,7 +169,7 @@
     std::size_t refused = 0;
     for (std::size_t at = 0; at < bytes; ++at) {
         MemoryDisk flipped = disk;
-        flipped.flip_bit(name, at * bits_a_byte + at % bits_a_byte);
+        flipped.flip_bit(name, at * bits_per_byte + at % bits_per_byte);
         PowerLossEnv reopened(std::move(flipped));
         ReplicaStore store(options_on(reopened));
         const OpenResult result = store.open(folder);
@@ -193,7 +193,7 @@
     fill(env);
     const std::string key = keys::entry(5);
     alter_value(env, key,
-                [&](std::string& value) { value = seal(key, value.substr(seal_bytes), format_version + 1); });
+                [&](std::string& value) { value = frame_value(key, value.substr(value_header_bytes), format_version + 1); });
     const NoState refusal = refusal_on(env);
     CHECK(refusal.reason == NoStateReason::incompatible_version);
     CHECK(refusal.where == key);
