--- a/src/consensus/leaving.cpp
+++ b/src/consensus/leaving.cpp
@@ -18,8 +18,8 @@
 bool Raft::may_leave() const {
     if (!options_.guards.confirm_before_leaving) return true;
     const Membership& membership = log_.membership();
-    const bool alone = membership.voters.size() == 1 && find_voter(membership, self_.id);
-    return may_leave_ || alone || !is_member(membership, self_.id);
+    const bool only_voter = membership.voters.size() == 1 && find_voter(membership, self_.id);
+    return may_leave_ || only_voter || !is_member(membership, self_.id);
 }
 
 // Whether a majority without `leaver` consists of live replicas that hold all committed entries on disk.
--- a/src/consensus/membership_policy.cpp
+++ b/src/consensus/membership_policy.cpp
@@ -58,9 +58,9 @@
             return RemoveReplica{failed->id};
         }
         const bool has_grown = largest_odd_size(membership_) > target_voter_count(membership_);
-        const bool lasts =
+        const bool is_permanent =
             group_.time_since_change >= options_.adopt_growth_after && suspected_voters().empty();
-        if (has_grown && lasts) return AdoptVoterCount{};
+        if (has_grown && is_permanent) return AdoptVoterCount{};
         return std::nullopt;
     }
 
--- a/src/consensus/progress.h
+++ b/src/consensus/progress.h
@@ -17,7 +17,7 @@
     snapshot,   // the entries that the follower needs are compacted; it is sent a snapshot
 };
 
-// A snapshot on its way to a follower.
+// A snapshot that is being sent to a follower.
 struct SnapshotTransfer {
     std::shared_ptr<const Snapshot> snapshot;
     std::uint64_t checksum = 0;  // of the snapshot's data
@@ -70,7 +70,7 @@
     HeartbeatRound acknowledged_round() const { return acknowledged_round_; }
 
     void add_round_trip_sample(microseconds sample);
-    // Estimated round trip: rises to a longer sample at once, falls gradually.
+    // Estimated round trip: rises to a longer sample immediately, falls gradually.
     microseconds round_trip() const { return round_trip_; }
 
     // Divides a learner's replication into rounds (thesis 4.2.1): each round replicates the entries that the
--- a/src/consensus/write_tracker.h
+++ b/src/consensus/write_tracker.h
@@ -21,7 +21,7 @@
 
     // Entries from `from` on were added or replaced since the last batch.
     void entries_changed(Index from);
-    // The whole log was replaced by a snapshot; entries now start at `from`.
+    // The complete log was replaced by a snapshot; entries now start at `from`.
     void log_replaced(Index from);
     void hard_state_changed() { hard_state_pending_ = true; }
     void snapshot_changed() { snapshot_pending_ = true; }
--- a/tests/consensus/checker.cpp
+++ b/tests/consensus/checker.cpp
@@ -7,16 +7,17 @@
 void Checker::leader_elected(Term term, ReplicaId leader) {
     const auto [found, added] = leaders_.try_emplace(term, leader);
     if (!added && found->second != leader) {
-        violated(Property::election_safety, "two leaders in term " + std::to_string(term));
+        report(Property::election_safety, "two leaders in term " + std::to_string(term));
     }
 }
 
 void Checker::leader_elected(const Raft& raft) {
     leader_elected(raft.term(), raft.self().id);
     for (const auto& [index, committed] : committed_) {
-        const bool must_have = committed.by < raft.term() && index > raft.log().snapshot_index();
+        const bool must_have =
+            committed.first_applied_in < raft.term() && index > raft.log().snapshot_index();
         if (!must_have || raft.log().matches(index, committed.entry.term)) continue;
-        violated(Property::leader_completeness, "a leader lacks entry " + std::to_string(index));
+        report(Property::leader_completeness, "a leader lacks entry " + std::to_string(index));
         return;
     }
 }
@@ -26,35 +27,35 @@
         written_.try_emplace({entry.index, entry.term}, Written{entry, previous_term});
     if (added) return;
     const bool same = found->second.entry == entry && found->second.previous_term == previous_term;
-    if (!same) violated(Property::log_matching, "two entries at " + std::to_string(entry.index));
+    if (!same) report(Property::log_matching, "two entries at " + std::to_string(entry.index));
 }
 
 void Checker::entry_applied(const Entry& entry, Term term) {
     const auto [found, added] = committed_.try_emplace(entry.index, Committed{entry, term});
     if (added && entry.kind == EntryKind::membership) membership_ = entry.membership;
     if (!added && found->second.entry != entry) {
-        violated(Property::state_machine_safety, "two entries applied at " + std::to_string(entry.index));
+        report(Property::state_machine_safety, "two entries applied at " + std::to_string(entry.index));
     }
 }
 
 void Checker::change_acknowledged(Version version, Value value, Version known_at_start) {
     const auto [found, added] = acknowledged_.try_emplace(version, value);
     if (!added && found->second != value) {
-        violated(Property::one_change_per_version, "two changes to version " + std::to_string(version));
+        report(Property::one_change_per_version, "two changes to version " + std::to_string(version));
     }
     if (version <= known_at_start) {
-        violated(Property::no_stale_read, "a change on top of an old version " + std::to_string(version));
+        report(Property::no_stale_read, "a change on top of an old version " + std::to_string(version));
     }
-    value_seen(version, value);
+    record_value(version, value);
 }
 
-// The register remembers the newest changes alone.
+// The register recognizes repeats only of its newest changes, so only the newest one is checked.
 void Checker::repeat_refused(Version version, Value value, Version known_at_start) {
     const auto found = acknowledged_.find(version);
     const bool acknowledged = found != acknowledged_.end() && found->second == value;
-    const bool newest = version == known_at_start && version == known_;
+    const bool newest = version == known_at_start && version == newest_known_;
     if (acknowledged && newest) {
-        violated(Property::repeat_not_refused, "a repeat of version " + std::to_string(version));
+        report(Property::repeat_not_refused, "a repeat of version " + std::to_string(version));
     }
 }
 
@@ -62,16 +63,16 @@
     ++reads_;
     if (version < known_at_start) {
         const std::string text = std::to_string(version) + " after " + std::to_string(known_at_start);
-        violated(Property::no_stale_read, "read " + text);
+        report(Property::no_stale_read, "read " + text);
     }
-    value_seen(version, value);
+    record_value(version, value);
 }
 
-void Checker::value_seen(Version version, Value value) {
-    known_ = std::max(known_, version);
+void Checker::record_value(Version version, Value value) {
+    newest_known_ = std::max(newest_known_, version);
     const auto [found, added] = seen_.try_emplace(version, value);
     if (!added && found->second != value) {
-        violated(Property::no_lost_change, "version " + std::to_string(version) + " has two values");
+        report(Property::no_lost_change, "version " + std::to_string(version) + " has two values");
     }
 }
 
--- a/tests/consensus/checker.h
+++ b/tests/consensus/checker.h
@@ -1,5 +1,5 @@
-// What must hold in every history: Raft's safety properties (thesis, figure 3.2) and the linearizability of a
-// register whose versions only grow.
+// Checks the properties that every history must have: Raft's safety properties (thesis, figure 3.2) and the
+// linearizability of a register whose version only increases.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 namespace dewweir::consensus::testing {
 
 using Version = std::uint64_t;
-using Value = std::uint64_t;  // every change writes one of its own
+using Value = std::uint64_t;  // unique for each change
 
 enum class Property : std::uint8_t {
     election_safety,
@@ -35,14 +35,14 @@
   public:
     void leader_elected(const Raft& raft);
     void leader_elected(Term term, ReplicaId leader);
-    // `previous_term` is that of the entry before.
+    // `previous_term` is the term of the preceding entry.
     void entry_written(const Entry& entry, Term previous_term);
     void entry_applied(const Entry& entry, Term term);
 
-    // The newest version that some client knows; an operation that starts now must not see an older one.
-    Version known() const { return known_; }
+    // The newest version that any client has seen; an operation that starts now must not see an older one.
+    Version newest_known() const { return newest_known_; }
     void change_acknowledged(Version version, Value value, Version known_at_start);
-    // A change that was sent again was refused.
+    // A repeated change was refused.
     void repeat_refused(Version version, Value value, Version known_at_start);
     void read_answered(Version version, Value value, Version known_at_start);
 
@@ -59,11 +59,11 @@
     };
     struct Committed {
         Entry entry;
-        Term by;  // the term of the replica that first applied it
+        Term first_applied_in;  // term of the replica that applied it first
     };
 
-    void violated(Property property, const std::string& text) { violations_.push_back({property, text}); }
-    void value_seen(Version version, Value value);
+    void report(Property property, const std::string& text) { violations_.push_back({property, text}); }
+    void record_value(Version version, Value value);
 
     std::map<Term, ReplicaId> leaders_;
     std::map<std::pair<Index, Term>, Written> written_;
@@ -71,7 +71,7 @@
     std::map<Version, Value> acknowledged_;
     std::map<Version, Value> seen_;
     Membership membership_;
-    Version known_ = 0;
+    Version newest_known_ = 0;
     std::size_t reads_ = 0;
     std::vector<Violation> violations_;
 };
--- a/tests/consensus/checker_faults.cpp
+++ b/tests/consensus/checker_faults.cpp
@@ -1,4 +1,4 @@
-// Each property of the checker is shown to be broken by what breaks it.
+// Tests that the checker reports each violation that it is meant to detect.
 #include <catch2/catch.hpp>
 
 #include "consensus/checker.h"
@@ -19,7 +19,7 @@
     return checker.violations().size() == 1 && checker.violations().front().property == property;
 }
 
-TEST_CASE("two leaders of a term break election safety") {
+TEST_CASE("two leaders in one term violate election safety") {
     Checker checker;
     checker.leader_elected(2, 1);
     checker.leader_elected(2, 1);
@@ -29,18 +29,18 @@
     CHECK(saw(checker, Property::election_safety));
 }
 
-TEST_CASE("entries of one index and term that differ break log matching") {
+TEST_CASE("different entries with the same index and term violate log matching") {
     Checker checker;
     checker.entry_written(command(2, 1, "a"), 1);
     checker.entry_written(command(2, 1, "a"), 1);
     checker.entry_written(command(2, 2, "b"), 1);
     REQUIRE(checker.violations().empty());
-    SECTION("in what they say") { checker.entry_written(command(2, 1, "b"), 1); }
-    SECTION("in what comes before") { checker.entry_written(command(2, 1, "a"), 0); }
+    SECTION("different payload") { checker.entry_written(command(2, 1, "b"), 1); }
+    SECTION("different preceding term") { checker.entry_written(command(2, 1, "a"), 0); }
     CHECK(saw(checker, Property::log_matching));
 }
 
-TEST_CASE("a leader without a committed entry breaks leader completeness") {
+TEST_CASE("a leader without a committed entry violates leader completeness") {
     Checker checker;
     checker.entry_applied(command(2, 1, "a"), 1);
     Replica self{1, "10.0.0.1:7000"};
@@ -56,7 +56,7 @@
     CHECK(saw(checker, Property::leader_completeness));
 }
 
-TEST_CASE("two entries applied at one index break state machine safety") {
+TEST_CASE("two different entries applied at one index violate state machine safety") {
     Checker checker;
     checker.entry_applied(command(2, 1, "a"), 1);
     checker.entry_applied(command(2, 1, "a"), 2);
@@ -65,7 +65,7 @@
     CHECK(saw(checker, Property::state_machine_safety));
 }
 
-TEST_CASE("two changes on one version are never both acknowledged") {
+TEST_CASE("two acknowledged changes to one version are a violation") {
     Checker checker;
     checker.change_acknowledged(1, 10, 0);
     checker.change_acknowledged(1, 11, 0);
@@ -73,7 +73,7 @@
     CHECK(checker.violations().front().property == Property::one_change_per_version);
 }
 
-TEST_CASE("an acknowledged change that reads do not show is lost") {
+TEST_CASE("an acknowledged change that a read does not return is reported as lost") {
     Checker checker;
     checker.change_acknowledged(1, 10, 0);
     checker.read_answered(1, 10, 1);
@@ -82,7 +82,7 @@
     CHECK(saw(checker, Property::no_lost_change));
 }
 
-TEST_CASE("a read of less than was known when it began is stale") {
+TEST_CASE("a read that returns an older version than known at its start is stale") {
     Checker checker;
     checker.change_acknowledged(1, 10, 0);
     checker.change_acknowledged(2, 11, 1);
--- a/tests/consensus/disk.h
+++ b/tests/consensus/disk.h
@@ -1,5 +1,5 @@
-// A replica's disk in virtual time: writes wait in order until they are synced; a stop may keep any first
-// part of what waits, a loss of power drops it.
+// A replica's disk in virtual time. Writes wait in order until they are synced; if the process stops, any
+// prefix of the waiting writes may reach the disk; a power loss drops all of them.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
     void submit(const Write& write);
     void sync_through(WriteSequence sequence);
     std::size_t unsynced() const { return waiting_.size(); }
-    // The process or machine stops: the first `kept` of the waiting operations reach the disk.
+    // The process or machine stops: only the first `kept` waiting operations reach the disk.
     void stop(std::size_t kept);
     void wipe();
     void forget_unsynced() { waiting_.clear(); }
--- a/tests/consensus/failover.cpp
+++ b/tests/consensus/failover.cpp
@@ -1,11 +1,12 @@
-// How long a group is without a leader that commits, after each kind of loss of its leader, in virtual time.
-// DEWWEIR_FAILOVER_TABLE names a file for the table; DEWWEIR_FAILOVERS sets how many seeds each (20).
+// Measures, in virtual time, how long a group commits nothing after each kind of failure of its leader.
+// DEWWEIR_FAILOVER_TABLE names a file for the results; DEWWEIR_FAILOVERS sets the number of seeds for each
+// kind (default 20).
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <fstream>
 
-#include "consensus/world.h"
+#include "consensus/simulation.h"
 
 namespace dewweir::consensus::testing {
 namespace {
@@ -15,86 +16,86 @@
 constexpr milliseconds grace{6'000};
 constexpr milliseconds away{20'000};
 
-enum class Loss : std::uint8_t {
+enum class LeaderLoss : std::uint8_t {
     killed,
     power,
     wiped,
     frozen,
-    cut_both_ways,
-    hears_nobody,
-    heard_by_nobody,
-    told_to_end,
+    cut_both_directions,
+    receives_nothing,
+    sends_nothing,
+    graceful_leave,
     disk_refuses,
     all_killed,
     count
 };
 
-const char* name_of(Loss loss) {
+const char* name_of(LeaderLoss loss) {
     switch (loss) {
-        case Loss::killed: return "killed";
-        case Loss::power: return "power lost";
-        case Loss::wiped: return "disk lost";
-        case Loss::frozen: return "frozen";
-        case Loss::cut_both_ways: return "cut off both ways";
-        case Loss::hears_nobody: return "hears nobody";
-        case Loss::heard_by_nobody: return "heard by nobody";
-        case Loss::told_to_end: return "told to end";
-        case Loss::disk_refuses: return "disk takes no bytes";
-        case Loss::all_killed: return "all killed, back after 1 s";
-        case Loss::count: break;
+        case LeaderLoss::killed: return "killed";
+        case LeaderLoss::power: return "power lost";
+        case LeaderLoss::wiped: return "disk lost";
+        case LeaderLoss::frozen: return "frozen";
+        case LeaderLoss::cut_both_directions: return "cut off both ways";
+        case LeaderLoss::receives_nothing: return "hears nobody";
+        case LeaderLoss::sends_nothing: return "heard by nobody";
+        case LeaderLoss::graceful_leave: return "told to end";
+        case LeaderLoss::disk_refuses: return "disk takes no bytes";
+        case LeaderLoss::all_killed: return "all killed, back after 1 s";
+        case LeaderLoss::count: break;
     }
     return "";
 }
 
-void lose_all(World& world, std::size_t machines) {
-    for (MachineIndex index = 0; index < machines; ++index) world.stop(index);
-    world.run_for(milliseconds(1'000));
-    for (MachineIndex index = 0; index < machines; ++index) world.start(index);
+void lose_all(Simulation& simulation, std::size_t machines) {
+    for (MachineIndex index = 0; index < machines; ++index) simulation.stop(index);
+    simulation.run_for(milliseconds(1'000));
+    for (MachineIndex index = 0; index < machines; ++index) simulation.start(index);
 }
 
-void cut(World& world, MachineIndex leader, std::size_t machines, bool to_it, bool from_it) {
+void cut(Simulation& simulation, MachineIndex leader, std::size_t machines, bool to_it, bool from_it) {
     for (MachineIndex index = 0; index < machines; ++index) {
-        if (to_it) world.cut(index, leader);
-        if (from_it) world.cut(leader, index);
+        if (to_it) simulation.cut(index, leader);
+        if (from_it) simulation.cut(leader, index);
     }
 }
 
-void bring_about(World& world, Loss loss, MachineIndex leader, std::size_t machines) {
+void inject(Simulation& simulation, LeaderLoss loss, MachineIndex leader, std::size_t machines) {
     switch (loss) {
-        case Loss::killed: return world.stop(leader);
-        case Loss::power: return world.lose_power(leader);
-        case Loss::wiped: return world.wipe(leader);
-        case Loss::frozen: return world.freeze(leader, away);
-        case Loss::cut_both_ways: return cut(world, leader, machines, true, true);
-        case Loss::hears_nobody: return cut(world, leader, machines, true, false);
-        case Loss::heard_by_nobody: return cut(world, leader, machines, false, true);
-        case Loss::told_to_end: return world.leave(leader, grace);
-        case Loss::disk_refuses:
-            world.fill_disk(leader, away);
-            // As the owner does when a write has failed.
-            return world.with(leader, [&](Raft& raft) { raft.step_down(world.now()); });
-        case Loss::all_killed: return lose_all(world, machines);
-        case Loss::count: return;
+        case LeaderLoss::killed: return simulation.stop(leader);
+        case LeaderLoss::power: return simulation.lose_power(leader);
+        case LeaderLoss::wiped: return simulation.wipe(leader);
+        case LeaderLoss::frozen: return simulation.freeze(leader, away);
+        case LeaderLoss::cut_both_directions: return cut(simulation, leader, machines, true, true);
+        case LeaderLoss::receives_nothing: return cut(simulation, leader, machines, true, false);
+        case LeaderLoss::sends_nothing: return cut(simulation, leader, machines, false, true);
+        case LeaderLoss::graceful_leave: return simulation.leave(leader, grace);
+        case LeaderLoss::disk_refuses:
+            simulation.fill_disk(leader, away);
+            // The owner of a replica calls step_down when a write fails.
+            return simulation.call_raft(leader, [&](Raft& raft) { raft.step_down(simulation.now()); });
+        case LeaderLoss::all_killed: return lose_all(simulation, machines);
+        case LeaderLoss::count: return;
     }
 }
 
-// From the loss until a change that was sent after it is acknowledged; nothing where that takes longer than
-// `bound`.
-std::optional<milliseconds> time_without_leader(Loss loss, std::uint64_t seed, std::size_t machines,
-                                                milliseconds longest_delay) {
-    World world(machines, seed);
-    world.network().longest_delay = longest_delay;
-    if (!world.run_until(bound, [&] { return world.whole(); })) return std::nullopt;
-    world.run_for(milliseconds(1'000 + world.draw(300)));
-    const TimePoint from = world.now();
-    bring_about(world, loss, *world.leader(), machines);
-    const std::size_t before = world.checker().acknowledged();
-    while (world.now() - from < bound) {
-        for (MachineIndex index = 0; index < machines; ++index) world.propose(index);
-        world.run_for(step);
-        if (world.checker().acknowledged() <= before) continue;
-        if (!world.checker().violations().empty()) return std::nullopt;
-        return std::chrono::duration_cast<milliseconds>(world.now() - from);
+// Time from the failure until a change sent after it is acknowledged; none if that takes longer than `bound`
+// or violates a safety property.
+std::optional<milliseconds> time_to_recover(LeaderLoss loss, std::uint64_t seed, std::size_t machines,
+                                            milliseconds longest_delay) {
+    Simulation simulation(machines, seed);
+    simulation.network().longest_delay = longest_delay;
+    if (!simulation.run_until(bound, [&] { return simulation.converged(); })) return std::nullopt;
+    simulation.run_for(milliseconds(1'000 + simulation.draw(300)));
+    const TimePoint from = simulation.now();
+    inject(simulation, loss, *simulation.leader(), machines);
+    const std::size_t before = simulation.checker().acknowledged();
+    while (simulation.now() - from < bound) {
+        for (MachineIndex index = 0; index < machines; ++index) simulation.propose(index);
+        simulation.run_for(step);
+        if (simulation.checker().acknowledged() <= before) continue;
+        if (!simulation.checker().violations().empty()) return std::nullopt;
+        return std::chrono::duration_cast<milliseconds>(simulation.now() - from);
     }
     return std::nullopt;
 }
@@ -111,17 +112,17 @@
 }
 
 TEST_CASE("after each kind of loss of its leader a group commits again within the bound") {
-    const char* const wanted = std::getenv("DEWWEIR_FAILOVERS");
-    const std::uint64_t seeds = wanted ? std::strtoull(wanted, nullptr, 10) : 20;
+    const char* const seeds_text = std::getenv("DEWWEIR_FAILOVERS");
+    const std::uint64_t seeds = seeds_text ? std::strtoull(seeds_text, nullptr, 10) : 20;
     std::string rows;
     for (const std::size_t machines : {3u, 5u, 7u}) {
         for (const milliseconds delay : {milliseconds(10), milliseconds(60)}) {
-            for (int number = 0; number < static_cast<int>(Loss::count); ++number) {
-                const auto loss = static_cast<Loss>(number);
+            for (int number = 0; number < static_cast<int>(LeaderLoss::count); ++number) {
+                const auto loss = static_cast<LeaderLoss>(number);
                 INFO(machines << " machines, " << name_of(loss));
                 std::vector<milliseconds> times;
                 for (std::uint64_t seed = 0; seed < seeds; ++seed) {
-                    const auto time = time_without_leader(loss, seed, machines, delay);
+                    const auto time = time_to_recover(loss, seed, machines, delay);
                     REQUIRE(time);
                     times.push_back(*time);
                 }
--- a/tests/consensus/history_table.cpp
+++ b/tests/consensus/history_table.cpp
@@ -7,13 +7,13 @@
 namespace dewweir::consensus::testing {
 
 void HistoryTable::add(const HistoryResult& result) {
-    Row& row = by_machines_[result.machines];
+    Row& row = rows_by_machines_[result.machines];
     ++row.histories;
     if (!result.violations.empty()) ++row.with_violations;
     if (!result.recovered) ++row.not_recovered;
     row.faults += result.faults;
     row.lost_disks += result.lost_disks;
-    row.left += result.left;
+    row.planned_leaves += result.planned_leaves;
     row.changes += result.changes;
     row.reads += result.reads;
     row.committed += result.committed;
@@ -25,7 +25,7 @@
     file << "{\n \"what\": \"random histories of a group in virtual time, seeds from 0\",\n";
     file << " \"command\": \"" << command << "\",\n \"rows\": [";
     const char* separator = "\n";
-    for (const auto& [machines, row] : by_machines_) {
+    for (const auto& [machines, row] : rows_by_machines_) {
         file << separator << "  {\"machines\": " << machines;
         file << ", \"histories\": " << row.histories;
         file << ", \"with_violations\": " << row.with_violations;
@@ -33,7 +33,7 @@
         file << ", \"longest_recovery_ms\": " << row.longest_recovery.count();
         file << ", \"faults\": " << row.faults;
         file << ", \"lost_disks\": " << row.lost_disks;
-        file << ", \"left_as_planned\": " << row.left;
+        file << ", \"left_as_planned\": " << row.planned_leaves;
         file << ", \"changes_acknowledged\": " << row.changes;
         file << ", \"reads_answered\": " << row.reads;
         file << ", \"entries_committed\": " << row.committed << "}";
--- a/tests/consensus/history_table.h
+++ b/tests/consensus/history_table.h
@@ -1,4 +1,4 @@
-// The table of many histories, for results/.
+// Totals over many histories, per group size, written as JSON for results/.
 #pragma once
 
 #include <cstdint>
@@ -22,14 +22,14 @@
         std::size_t not_recovered = 0;
         std::size_t faults = 0;
         std::size_t lost_disks = 0;
-        std::size_t left = 0;
+        std::size_t planned_leaves = 0;
         std::size_t changes = 0;
         std::size_t reads = 0;
         std::size_t committed = 0;
         milliseconds longest_recovery{0};
     };
 
-    std::map<std::size_t, Row> by_machines_;
+    std::map<std::size_t, Row> rows_by_machines_;
 };
 
 }  // namespace dewweir::consensus::testing
--- a/tests/consensus/promises.cpp
+++ b/tests/consensus/raft_test.cpp
@@ -1,9 +1,10 @@
-// What a replica says before and after its writes are synced.
+// Unit tests of one replica: which messages it sends before and after its writes are synced, votes, commits
+// and reads.
+#include "consensus/raft.h"
+
 #include <algorithm>
 #include <catch2/catch.hpp>
 
-#include "consensus/raft.h"
-
 namespace dewweir::consensus::testing {
 namespace {
 
@@ -15,8 +16,8 @@
 constexpr Term start_term = 1;
 constexpr Term term = 5;
 
-// A follower whose disk has everything it was given so far.
-Raft settled_follower() {
+// A follower whose writes so far are all synced.
+Raft synced_follower() {
     PersistentState state;
     state.self = self;
     Raft raft(Options{}, state, three, 1, TimePoint{});
@@ -46,8 +47,8 @@
     return {term, index - 1, index == start_index + 1 ? start_term : term, start_index, {command(index)}};
 }
 
-TEST_CASE("a vote is said only once it is synced, and once a term") {
-    Raft raft = settled_follower();
+TEST_CASE("a vote is sent only after it is synced, and only once per term") {
+    Raft raft = synced_follower();
     raft.receive(TimePoint{}, {second, self, VoteRequest{term, start_index, start_term, false}});
     const Ready before = raft.take();
     REQUIRE(before.write);
@@ -63,8 +64,8 @@
     CHECK_FALSE(other->granted);
 }
 
-TEST_CASE("entries are acknowledged only as far as they are synced") {
-    Raft raft = settled_follower();
+TEST_CASE("entries are acknowledged only up to the synced index") {
+    Raft raft = synced_follower();
     raft.receive(TimePoint{}, {second, self, append_of(2)});
     const Ready first = raft.take();
     CHECK_FALSE(sent<AppendResponse>(first));
@@ -81,8 +82,8 @@
     CHECK(sent<AppendResponse>(raft.take())->index == 3);
 }
 
-TEST_CASE("a candidate asks for votes only once its own is synced") {
-    Raft raft = settled_follower();
+TEST_CASE("a candidate requests votes only after its own vote is synced") {
+    Raft raft = synced_follower();
     const TimePoint due = raft.next_deadline();
     raft.tick(due);
     CHECK(sent<PreVoteRequest>(raft.take()));
@@ -94,16 +95,16 @@
     CHECK(sent<VoteRequest>(raft.take()));
 }
 
-TEST_CASE("a message to an earlier life of the machine is not taken") {
-    Raft raft = settled_follower();
+TEST_CASE("a message to an earlier replica at the same address is ignored") {
+    Raft raft = synced_follower();
     const Replica previous_replica{99, self.address};
     raft.receive(TimePoint{}, {second, previous_replica, VoteRequest{term, start_index, start_term, false}});
     CHECK(raft.take().messages.empty());
     CHECK(raft.term() == start_term);
 }
 
-TEST_CASE("voters that hear a leader ignore candidates, but not those the leader asked to stand") {
-    Raft raft = settled_follower();
+TEST_CASE("voters with a live leader ignore candidates, except in a leadership transfer") {
+    Raft raft = synced_follower();
     raft.receive(TimePoint{}, {second, self, HeartbeatRequest{term, 1, start_index, microseconds(0)}});
     raft.take();
     raft.receive(TimePoint{}, {third, self, PreVoteRequest{term, term + 1, start_index, start_term}});
@@ -114,14 +115,14 @@
     CHECK(raft.term() == term + 1);
 }
 
-// Found by the history of seed 22170: one that was put out and taken in again was refused by a voter that had
-// heard of the first alone, and the two never made a majority.
-TEST_CASE("a replica that was put out is given the vote where its log shows that it was taken in again") {
-    Raft raft = settled_follower();
-    Entry put_out = command(2);
-    put_out.kind = EntryKind::membership;
-    put_out.membership = Membership{{self, second}, {}};
-    raft.receive(TimePoint{}, {second, self, AppendRequest{term, start_index, start_term, 2, {put_out}}});
+// Regression: a replica was removed and added again, and a voter that had received only the removal rejected
+// its pre-vote, so that the two never formed a majority (history with seed 22170).
+TEST_CASE("a removed replica gets a vote if its log shows that it was added again") {
+    Raft raft = synced_follower();
+    Entry removal = command(2);
+    removal.kind = EntryKind::membership;
+    removal.membership = Membership{{self, second}, {}};
+    raft.receive(TimePoint{}, {second, self, AppendRequest{term, start_index, start_term, 2, {removal}}});
     raft.persisted(TimePoint{}, raft.take().write->sequence);
     raft.take();
     REQUIRE(raft.commit_index() == 2);
@@ -136,7 +137,7 @@
     CHECK_FALSE(older->granted);
 }
 
-// A leader of the term after its last entry's, whose own disk has everything but the leader's first entry.
+// A leader in the term after that of its last entry; its own disk lacks only its first entry as a leader.
 Raft elected_leader(const std::vector<Entry>& entries) {
     PersistentState state;
     state.self = self;
@@ -154,8 +155,8 @@
     return raft;
 }
 
-TEST_CASE("a candidate whose log is behind gets no vote") {
-    Raft raft = settled_follower();
+TEST_CASE("a candidate with an outdated log gets no vote") {
+    Raft raft = synced_follower();
     raft.receive(TimePoint{}, {second, self, append_of(2)});
     raft.persisted(TimePoint{}, raft.take().write->sequence);
     raft.take();
@@ -166,7 +167,7 @@
     CHECK(ready.write->hard_state->vote == 0);
 }
 
-TEST_CASE("entries of earlier terms are committed only by one of the leader's own") {
+TEST_CASE("entries of earlier terms are committed only with an entry of the leader's own term") {
     Raft raft = elected_leader({command(2)});
     const TimePoint now = raft.next_deadline();
     raft.receive(now, {second, self, AppendResponse{term + 1, true, 2, 0}});
@@ -181,7 +182,7 @@
     CHECK(raft.take().write->hard_state->commit == 2);  // its own disk lacks entry 3
 }
 
-TEST_CASE("a read is safe once a majority has answered a later heartbeat") {
+TEST_CASE("a read is confirmed once a majority has answered a later heartbeat") {
     Raft raft = elected_leader({});
     const TimePoint now = raft.next_deadline();
     raft.persisted(now, raft.take().write->sequence);
@@ -200,7 +201,7 @@
     CHECK(answered.reads.front().index == 2);
 }
 
-TEST_CASE("a change of two voters at once is refused") {
+TEST_CASE("a membership change that affects two voters at once is refused") {
     const Membership membership{{self, second, third}, {{4, third.address}}};
     const auto result = membership_after(membership, PromoteLearner{4});
     REQUIRE(std::get_if<RefusalReason>(&result));
--- a/tests/consensus/world.cpp
+++ b/tests/consensus/simulation.cpp
@@ -1,4 +1,4 @@
-#include "consensus/world.h"
+#include "consensus/simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,14 +7,14 @@
 namespace {
 
 constexpr Index entries_between_snapshots = 25;
-constexpr milliseconds longest_sync{12};
+constexpr milliseconds max_sync_duration{12};
 
 }  // namespace
 
-World::World(std::size_t machines, std::uint64_t seed, Sabotage sabotage)
-    : random_(seed), sabotage_(sabotage) {
-    options_.guards.joint_consensus = sabotage != Sabotage::replace_without_joint_consensus;
-    options_.guards.confirm_before_leaving = sabotage != Sabotage::leave_unasked;
+Simulation::Simulation(std::size_t machines, std::uint64_t seed, InjectedDefect defect)
+    : random_(seed), defect_(defect) {
+    options_.guards.joint_consensus = defect != InjectedDefect::replace_without_joint_consensus;
+    options_.guards.confirm_before_leaving = defect != InjectedDefect::leave_without_confirmation;
     options_.max_append_bytes = 64;
     options_.max_inflight_appends = 4;
     options_.max_snapshot_chunk_bytes = 3;
@@ -28,17 +28,17 @@
     for (MachineIndex index = 0; index < machines; ++index) start(index);
 }
 
-Replica World::new_replica(const std::string& address) { return {next_id_++, address}; }
+Replica Simulation::new_replica(const std::string& address) { return {next_id_++, address}; }
 
-void World::post(TimePoint at, std::function<void()> run) {
+void Simulation::schedule(TimePoint at, std::function<void()> run) {
     events_.push({at, next_order_++, std::move(run)});
 }
 
-void World::run_for(milliseconds span) {
+void Simulation::run_for(milliseconds span) {
     run_until(span, [] { return false; });
 }
 
-bool World::run_until(milliseconds span, const std::function<bool()>& holds) {
+bool Simulation::run_until(milliseconds span, const std::function<bool()>& holds) {
     const TimePoint end = now_ + span;
     while (!events_.empty() && events_.top().at <= end) {
         const Event event = events_.top();
@@ -51,49 +51,52 @@
     return holds();
 }
 
-// Runs something for the replica that was running at `life`; later, if the machine is frozen.
-void World::on_machine(MachineIndex index, std::uint64_t life, const std::function<void(Raft&)>& run) {
+// Calls `run` for the replica if the machine still runs the given incarnation; after the freeze, if the
+// machine is frozen.
+void Simulation::run_on_machine(MachineIndex index, std::uint64_t incarnation,
+                                const std::function<void(Raft&)>& run) {
     const Machine& machine = machines_[index];
-    if (!machine.raft || machine.life != life) return;
+    if (!machine.raft || machine.incarnation != incarnation) return;
     if (now_ < machine.frozen_until) {
-        const std::chrono::microseconds turn(draw(1000));  // what waited is taken in any order
-        post(machine.frozen_until + turn, [this, index, life, run] { on_machine(index, life, run); });
+        const std::chrono::microseconds turn(draw(1000));  // delayed events run in random order
+        schedule(machine.frozen_until + turn,
+                 [this, index, incarnation, run] { run_on_machine(index, incarnation, run); });
         return;
     }
-    with(index, run);
+    call_raft(index, run);
 }
 
-void World::with(MachineIndex index, const std::function<void(Raft&)>& call) {
+void Simulation::call_raft(MachineIndex index, const std::function<void(Raft&)>& call) {
     call(*machines_[index].raft);
-    drain(index);
+    process_ready(index);
 }
 
-void World::start(MachineIndex index) {
+void Simulation::start(MachineIndex index) {
     Machine& machine = machines_[index];
-    if (machine.raft || machine.gone || now_ < machine.disk_refuses_until) return;
+    if (machine.raft || machine.removed || now_ < machine.disk_refuses_until) return;
     const bool empty_disk = machine.disk.state().self.id == 0;
-    const bool has_lived = machine.life > 0;
-    const bool takes_old_id = sabotage_ == Sabotage::old_id_after_wipe;
-    if (empty_disk && has_lived && !takes_old_id) {
+    const bool ran_before = machine.incarnation > 0;
+    const bool reuses_id = defect_ == InjectedDefect::reuse_id_after_disk_loss;
+    if (empty_disk && ran_before && !reuses_id) {
         machine.replica = new_replica(machine.replica.address);
         machine.joins = true;
     }
     machine.disk.set_self(machine.replica);
-    ++machine.life;
+    ++machine.incarnation;
     machine.frozen_until = now_;
     const PersistentState& state = machine.disk.state();
     const Membership initial = machine.joins ? Membership{} : first_membership_;
     machine.raft = std::make_unique<Raft>(options_, state, initial, random_(), now_);
     machine.state = state.snapshot ? decode_register(state.snapshot->data) : Register{};
     machine.leaving = false;
-    machine.leaves_for_good = false;
+    machine.leaves_permanently = false;
     machine.refused_through = 0;
     machine.applied = machine.raft->log().snapshot_index();
     machine.tick_at = TimePoint::max();
-    drain(index);
+    process_ready(index);
 }
 
-void World::drain(MachineIndex index) {
+void Simulation::process_ready(MachineIndex index) {
     Machine& machine = machines_[index];
     Raft& raft = *machine.raft;
     Ready ready = raft.take();
@@ -117,43 +120,43 @@
     if (ready.write) write(index, *ready.write);
     if (machine.applied >= raft.log().snapshot_index() + entries_between_snapshots) {
         raft.compact(machine.applied, encode(machine.state));
-        drain(index);
+        process_ready(index);
         return;
     }
     schedule_tick(index);
 }
 
-void World::schedule_tick(MachineIndex index) {
+void Simulation::schedule_tick(MachineIndex index) {
     Machine& machine = machines_[index];
     const TimePoint deadline = machine.raft->next_deadline();
     if (machine.tick_at <= deadline) return;
     machine.tick_at = deadline;
-    const std::uint64_t life = machine.life;
+    const std::uint64_t incarnation = machine.incarnation;
     auto tick = [this, index](Raft& raft) {
         machines_[index].tick_at = TimePoint::max();
         raft.tick(now_);
     };
-    post(deadline, [this, index, life, tick] { on_machine(index, life, tick); });
+    schedule(deadline, [this, index, incarnation, tick] { run_on_machine(index, incarnation, tick); });
 }
 
-void World::transmit(const Envelope& envelope) {
+void Simulation::transmit(const Envelope& envelope) {
     const auto found = by_address_.find(envelope.to.address);
     if (found == by_address_.end()) return;
     const MachineIndex to = found->second;
-    const int copies = chance(network_.duplication) ? 2 : 1;
+    const int copies = draw_bool(network_.duplication) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-        if (chance(network_.loss)) continue;
+        if (draw_bool(network_.loss)) continue;
         const auto spread = std::uint64_t((network_.longest_delay - network_.shortest_delay).count()) + 1;
         const milliseconds delay = network_.shortest_delay + milliseconds(draw(spread));
-        post(now_ + delay, [this, to, envelope] {
+        schedule(now_ + delay, [this, to, envelope] {
             if (network_.cuts.contains({envelope.from.address, envelope.to.address})) return;
             const auto receive = [this, envelope](Raft& raft) { raft.receive(now_, envelope); };
-            on_machine(to, machines_[to].life, receive);
+            run_on_machine(to, machines_[to].incarnation, receive);
         });
     }
 }
 
-void World::write(MachineIndex index, const Write& write) {
+void Simulation::write(MachineIndex index, const Write& write) {
     Machine& machine = machines_[index];
     if (write.entries) {
         for (const Entry& entry : write.entries->entries) {
@@ -161,25 +164,25 @@
             if (previous_term) checker_.entry_written(entry, *previous_term);
         }
     }
-    if (now_ < machine.disk_refuses_until) return;  // written as a whole once the disk takes bytes again
+    if (now_ < machine.disk_refuses_until) return;  // rewritten completely once the disk accepts writes again
     machine.disk.submit(write);
     const WriteSequence sequence = write.sequence;
-    const std::uint64_t life = machine.life;
-    const TimePoint usual = now_ + milliseconds(1 + draw(longest_sync.count()));
-    const TimePoint done = std::max(usual, machine.disk_hangs_until);
+    const std::uint64_t incarnation = machine.incarnation;
+    const TimePoint regular = now_ + milliseconds(1 + draw(max_sync_duration.count()));
+    const TimePoint done = std::max(regular, machine.disk_hangs_until);
     auto report = [this, sequence](Raft& raft) { raft.persisted(now_, sequence); };
-    post(done, [this, index, life, sequence, report] {
+    schedule(done, [this, index, incarnation, sequence, report] {
         Machine& owner = machines_[index];
-        if (owner.life != life || !owner.raft) return;
+        if (owner.incarnation != incarnation || !owner.raft) return;
         if (now_ < owner.disk_refuses_until || sequence <= owner.refused_through) return;
         owner.disk.sync_through(sequence);
-        on_machine(index, life, report);
+        run_on_machine(index, incarnation, report);
     });
-    if (sabotage_ != Sabotage::persisted_before_sync) return;
-    post(now_, [this, index, life, report] { on_machine(index, life, report); });
+    if (defect_ != InjectedDefect::persisted_before_sync) return;
+    schedule(now_, [this, index, incarnation, report] { run_on_machine(index, incarnation, report); });
 }
 
-std::optional<MachineIndex> World::leader() const {
+std::optional<MachineIndex> Simulation::leader() const {
     std::optional<MachineIndex> best;
     for (MachineIndex index = 0; index < machines_.size(); ++index) {
         const Raft* raft = machines_[index].raft.get();
@@ -189,7 +192,7 @@
     return best;
 }
 
-bool World::whole() const {
+bool Simulation::converged() const {
     const std::optional<MachineIndex> at = leader();
     if (!at) return false;
     const Machine& leading = machines_[*at];
@@ -197,20 +200,20 @@
     if (leading.raft->commit_index() < leading.raft->log().membership_index()) return false;
     std::size_t running = 0;
     for (const Machine& machine : machines_) {
-        if (machine.gone) continue;
+        if (machine.removed) continue;
         ++running;
-        const bool in_step = machine.raft && machine.applied >= leading.applied;
-        if (!in_step || !find_voter(membership, machine.replica.id)) return false;
+        const bool in_sync = machine.raft && machine.applied >= leading.applied;
+        if (!in_sync || !find_voter(membership, machine.replica.id)) return false;
     }
     return membership.voters.size() == running && membership.learners.empty() && membership.outgoing.empty();
 }
 
-bool World::may_lose_disk() const {
+bool Simulation::can_lose_disk() const {
     const Membership& newest = checker_.membership();
     const Membership& membership = newest.voters.empty() ? first_membership_ : newest;
     std::size_t machines = 0;
     for (const Machine& machine : machines_) {
-        if (machine.gone) continue;
+        if (machine.removed) continue;
         ++machines;
         const bool has_disk = machine.disk.state().self.id == machine.replica.id;
         if (!has_disk || !find_voter(membership, machine.replica.id)) return false;
--- a/tests/consensus/world.h
+++ b/tests/consensus/simulation.h
@@ -1,4 +1,5 @@
-// A group of replicas in virtual time, with clients of a compare-and-set register: one seed, one history.
+// Simulates a group of replicas and clients of a replicated compare-and-set register in virtual time. A seed
+// determines the whole run.
 #pragma once
 
 #include <cstdint>
@@ -16,21 +17,21 @@
 
 namespace dewweir::consensus::testing {
 
-// A fault of the owner's, put in to show that the checker sees it.
-enum class Sabotage : std::uint8_t {
+// A defect put into a replica or its owner to show that the checker detects it.
+enum class InjectedDefect : std::uint8_t {
     none,
-    old_id_after_wipe,
+    reuse_id_after_disk_loss,
     persisted_before_sync,
     read_without_quorum,
-    serve_while_leader_is_heard,  // a follower shows its state because it hears a leader
-    replace_without_joint_consensus,         // without the joint step
-    leave_unasked,
+    serve_unconfirmed_state,          // a replica serves its state because it knows a leader
+    replace_without_joint_consensus,  // SafetyGuards::joint_consensus is off
+    leave_without_confirmation,
 };
 
 using MachineIndex = std::size_t;
 
-// So many of the newest changes are known by their content, so that a repeated one is acknowledged again.
-constexpr std::size_t remembered_changes = 4;
+// The register remembers this many of its newest changes, so that repeats of them are acknowledged again.
+constexpr std::size_t max_remembered_changes = 4;
 
 struct AcceptedChange {
     Version version = 0;
@@ -68,16 +69,16 @@
 struct Machine {
     Replica replica;
     Disk disk;
-    std::unique_ptr<Raft> raft;  // null: not running
-    std::uint64_t life = 0;      // counts starts
-    bool gone = false;           // removed for good
-    bool joins = false;          // its replica is not of the first membership
+    std::unique_ptr<Raft> raft;     // null: not running
+    std::uint64_t incarnation = 0;  // number of starts
+    bool removed = false;           // permanently
+    bool joins = false;             // its replica is not in the initial membership
     TimePoint frozen_until{};
     TimePoint disk_hangs_until{};
     TimePoint disk_refuses_until{};
-    WriteSequence refused_through = 0;  // writes that the disk never took; a later one holds all of them
+    WriteSequence refused_through = 0;  // writes that never reached the disk; a later one covers them
     bool leaving = false;
-    bool leaves_for_good = false;
+    bool leaves_permanently = false;
     TimePoint tick_at = TimePoint::max();
     Register state;
     Index applied = 0;
@@ -93,12 +94,13 @@
     std::set<std::pair<std::string, std::string>> cuts;  // from, to
 };
 
-class World {
+class Simulation {
   public:
-    World(std::size_t machines, std::uint64_t seed, Sabotage sabotage = Sabotage::none);
+    Simulation(std::size_t machines, std::uint64_t seed, InjectedDefect defect = InjectedDefect::none);
 
     void run_for(milliseconds span);
-    // Whether the condition came to hold within the span; asked after every event.
+    // Runs until `holds`, evaluated after every event, is true; returns false if that takes longer than
+    // `span`.
     bool run_until(milliseconds span, const std::function<bool()>& holds);
 
     TimePoint now() const { return now_; }
@@ -106,38 +108,38 @@
     Network& network() { return network_; }
     std::vector<Machine>& machines() { return machines_; }
     std::uint64_t draw(std::uint64_t below) { return random_() % below; }
-    bool chance(double probability) { return double(draw(1'000'000)) < probability * 1e6; }
+    bool draw_bool(double probability) { return double(draw(1'000'000)) < probability * 1e6; }
 
-    void stop(MachineIndex index);        // the process dies; some unsynced writes last
-    void lose_power(MachineIndex index);  // no unsynced write lasts
+    void stop(MachineIndex index);        // the process dies; some unsynced writes reach the disk
+    void lose_power(MachineIndex index);  // no unsynced write reaches the disk
     void start(MachineIndex index);
-    void wipe(MachineIndex index);  // stops, and loses the disk
+    void wipe(MachineIndex index);  // stops the machine and erases its disk
     void freeze(MachineIndex index, milliseconds span);
     void hang_disk(MachineIndex index, milliseconds span);
-    void replace(MachineIndex index);  // gone for good; a machine at another address comes instead
+    void replace(MachineIndex index);  // removes it permanently and adds a machine at another address
     void cut(MachineIndex from, MachineIndex to);
     void fill_disk(MachineIndex index, milliseconds span);
-    void end_faults(MachineIndex index);  // of the machine and its disk
+    void end_faults(MachineIndex index);  // of the machine and its disk; starts it if it is stopped
     void leave(MachineIndex index, milliseconds grace);
     MachineIndex add_machine();
 
-    // The operator's and the clients' calls.
-    void repair_membership();
-    bool propose(MachineIndex index);  // on top of the newest version known
+    // Requests of the operator and the clients.
+    void request_membership();
+    bool propose(MachineIndex index);  // a change to the newest known version
     bool propose(MachineIndex index, Version expected);
-    bool repeat(MachineIndex index);  // of one of the newest changes sent
+    bool repeat(MachineIndex index);  // sends one of the newest changes again
     bool read(MachineIndex index);
-    void serve_state(MachineIndex index);
-    std::size_t left() const { return left_; }  // as planned, with leave
-
-    std::optional<MachineIndex> leader() const;  // of the highest term
-    // Every running machine's replica is a voter for the leader and has applied all that the leader has, and
-    // no other replica is a member.
-    bool whole() const;
-    // Every machine has its disk, and the voters are just the replicas on them: one more disk may be lost.
-    bool may_lose_disk() const;
-    // Lets the machine's replica be used by a call, then does what it asks for.
-    void with(MachineIndex index, const std::function<void(Raft&)>& call);
+    void serve_confirmed_state(MachineIndex index);
+    std::size_t planned_leaves() const { return planned_leaves_; }  // replicas that left with permission
+
+    std::optional<MachineIndex> leader() const;  // the one with the highest term
+    // Whether the replicas of all machines, and no others, are voters and have applied what the leader has.
+    bool converged() const;
+    // Whether the fault budget permits the loss of a disk: every machine has its disk, and exactly the
+    // replicas on these disks are voters.
+    bool can_lose_disk() const;
+    // Calls `call` with the machine's replica, then performs the actions in its Ready.
+    void call_raft(MachineIndex index, const std::function<void(Raft&)>& call);
 
   private:
     struct Event {
@@ -149,9 +151,9 @@
         }
     };
 
-    void post(TimePoint at, std::function<void()> run);
-    void on_machine(MachineIndex index, std::uint64_t life, const std::function<void(Raft&)>& run);
-    void drain(MachineIndex index);
+    void schedule(TimePoint at, std::function<void()> run);
+    void run_on_machine(MachineIndex index, std::uint64_t incarnation, const std::function<void(Raft&)>& run);
+    void process_ready(MachineIndex index);
     void transmit(const Envelope& envelope);
     void write(MachineIndex index, const Write& write);
     void apply(Machine& machine, const Entry& entry);
@@ -159,12 +161,12 @@
     void schedule_tick(MachineIndex index);
     Replica new_replica(const std::string& address);
     void rewrite_disk(MachineIndex index);
-    void ask_to_leave(MachineIndex index, std::uint64_t life, TimePoint end);
+    void ask_to_leave(MachineIndex index, std::uint64_t incarnation, TimePoint end);
     bool send_change(MachineIndex index, const Change& change, bool repeat);
 
     TimePoint now_{};
     std::mt19937_64 random_;
-    Sabotage sabotage_;
+    InjectedDefect defect_;
     Options options_;
     Checker checker_;
     Network network_;
@@ -177,7 +179,7 @@
     Value next_value_ = 1;
     ReadToken next_token_ = 1;
     std::vector<Change> sent_;  // the newest changes
-    std::size_t left_ = 0;
+    std::size_t planned_leaves_ = 0;
 };
 
 }  // namespace dewweir::consensus::testing
--- a/tests/consensus/world_clients.cpp
+++ b/tests/consensus/simulation_clients.cpp
@@ -1,8 +1,8 @@
-// The calls of a world's clients, and the register that the replicas apply them to.
+// Requests of the simulated clients, and the replicated register.
 #include <algorithm>
 #include <sstream>
 
-#include "consensus/world.h"
+#include "consensus/simulation.h"
 
 namespace dewweir::consensus::testing {
 namespace {
@@ -17,19 +17,19 @@
     return result;
 }
 
-bool made(const Register& state, const Change& change) {
-    const AcceptedChange wanted{change.expected + 1, change.value};
-    return std::find(state.recent.begin(), state.recent.end(), wanted) != state.recent.end();
+bool was_applied(const Register& state, const Change& change) {
+    const AcceptedChange sought{change.expected + 1, change.value};
+    return std::find(state.recent.begin(), state.recent.end(), sought) != state.recent.end();
 }
 
-// Whether the change has, now or before, brought a version.
+// Applies the change. Returns whether it is or was applied, which includes repeats of a remembered change.
 bool apply_change(Register& state, const Change& change) {
-    if (made(state, change)) return true;
+    if (was_applied(state, change)) return true;
     if (change.expected != state.version) return false;
     state.version = change.expected + 1;
     state.value = change.value;
     state.recent.push_back({state.version, state.value});
-    if (state.recent.size() > remembered_changes) state.recent.erase(state.recent.begin());
+    if (state.recent.size() > max_remembered_changes) state.recent.erase(state.recent.begin());
     return true;
 }
 
@@ -51,7 +51,7 @@
     return result;
 }
 
-void World::apply(Machine& machine, const Entry& entry) {
+void Simulation::apply(Machine& machine, const Entry& entry) {
     machine.applied = entry.index;
     bool accepted = false;
     Version brought = 0;
@@ -75,7 +75,7 @@
     }
 }
 
-void World::answer_reads(Machine& machine) {
+void Simulation::answer_reads(Machine& machine) {
     auto answer = [this, &machine](const auto& item) {
         const PendingRead& read = item.second;
         if (!read.safe || machine.applied < read.index) return false;
@@ -85,66 +85,67 @@
     std::erase_if(machine.reads, answer);
 }
 
-bool World::propose(MachineIndex index) {
-    return propose(index, std::max(checker_.known(), machines_[index].state.version));
+bool Simulation::propose(MachineIndex index) {
+    return propose(index, std::max(checker_.newest_known(), machines_[index].state.version));
 }
 
-bool World::propose(MachineIndex index, Version expected) {
+bool Simulation::propose(MachineIndex index, Version expected) {
     const Change change{expected, next_value_++};
     if (!send_change(index, change, false)) return false;
     sent_.push_back(change);
-    if (sent_.size() > remembered_changes) sent_.erase(sent_.begin());
+    if (sent_.size() > max_remembered_changes) sent_.erase(sent_.begin());
     return true;
 }
 
-bool World::repeat(MachineIndex index) {
+bool Simulation::repeat(MachineIndex index) {
     return !sent_.empty() && send_change(index, sent_[draw(sent_.size())], true);
 }
 
-bool World::send_change(MachineIndex index, const Change& change, bool repeat) {
+bool Simulation::send_change(MachineIndex index, const Change& change, bool repeat) {
     Machine& machine = machines_[index];
     if (!machine.raft || now_ < machine.frozen_until) return false;
-    bool taken = false;
-    with(index, [&](Raft& raft) {
+    bool accepted_request = false;
+    call_raft(index, [&](Raft& raft) {
         const ProposeResult result = raft.propose(now_, encode_change(change.expected, change.value));
         const auto* accepted = std::get_if<Accepted>(&result);
         if (!accepted) return;
-        machine.changes[accepted->index] = {accepted->term, change.value, checker_.known(), repeat};
-        taken = true;
+        machine.changes[accepted->index] = {accepted->term, change.value, checker_.newest_known(), repeat};
+        accepted_request = true;
     });
-    return taken;
+    return accepted_request;
 }
 
-// A control plane shows what it holds once that is proved to be in step with a majority.
-void World::serve_state(MachineIndex index) {
+// Reads the replica's local state once a read index from the leader has confirmed that it is current.
+void Simulation::serve_confirmed_state(MachineIndex index) {
     Machine& machine = machines_[index];
     if (!machine.raft || now_ < machine.frozen_until) return;
-    if (sabotage_ == Sabotage::serve_while_leader_is_heard) {
-        const bool hears = machine.raft->leader().has_value();
-        if (hears) checker_.read_answered(machine.state.version, machine.state.value, checker_.known());
+    if (defect_ == InjectedDefect::serve_unconfirmed_state) {
+        const bool knows_leader = machine.raft->leader().has_value();
+        if (knows_leader)
+            checker_.read_answered(machine.state.version, machine.state.value, checker_.newest_known());
         return;
     }
     const ReadToken token = next_token_++;
-    machine.reads[token].known_at_start = checker_.known();
-    with(index, [&](Raft& raft) { raft.read_index_via_leader(now_, token); });
+    machine.reads[token].known_at_start = checker_.newest_known();
+    call_raft(index, [&](Raft& raft) { raft.read_index_via_leader(now_, token); });
 }
 
-bool World::read(MachineIndex index) {
+bool Simulation::read(MachineIndex index) {
     Machine& machine = machines_[index];
     if (!machine.raft || now_ < machine.frozen_until) return false;
-    if (sabotage_ == Sabotage::read_without_quorum && machine.raft->role() == Role::leader) {
-        checker_.read_answered(machine.state.version, machine.state.value, checker_.known());
+    if (defect_ == InjectedDefect::read_without_quorum && machine.raft->role() == Role::leader) {
+        checker_.read_answered(machine.state.version, machine.state.value, checker_.newest_known());
         return true;
     }
     const ReadToken token = next_token_++;
-    machine.reads[token].known_at_start = checker_.known();
-    bool taken = false;
-    with(index, [&](Raft& raft) {
+    machine.reads[token].known_at_start = checker_.newest_known();
+    bool accepted_request = false;
+    call_raft(index, [&](Raft& raft) {
         const std::optional<Refused> refused = raft.read_index(now_, token);
         if (refused) machine.reads.erase(token);
-        taken = !refused;
+        accepted_request = !refused;
     });
-    return taken;
+    return accepted_request;
 }
 
 }  // namespace dewweir::consensus::testing
--- a/tests/storage/disk_writer_test.cpp
+++ b/tests/storage/disk_writer_test.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr auto long_enough = 60s;  // never waited for where the code is right
+constexpr auto generous_timeout = 60s;  // reached only if the test fails
 const DiskWriter::TimePoint start{};
 
-// Stands in for the owner's loop: functions posted to it run on the test's thread.
+// Replaces the owner's event loop: functions posted to it run on the test's thread.
 class Loop {
   public:
     DiskWriter::Poster poster() {
@@ -31,7 +31,7 @@
     void run_until(const std::function<bool()>& done) {
         while (!done()) {
             std::unique_lock lock(mutex_);
-            REQUIRE(changed_.wait_for(lock, long_enough, [this] { return !posted_.empty(); }));
+            REQUIRE(changed_.wait_for(lock, generous_timeout, [this] { return !posted_.empty(); }));
             const std::function<void()> function = std::move(posted_.front());
             posted_.pop_front();
             lock.unlock();
@@ -53,7 +53,7 @@
     DiskWriter writer{store, loop.poster(),
                       [this](const WriteCompletion& done) { completions.push_back(done); }};
 
-    // Open, with `self` written as token 0.
+    // Opens the store and writes `self` as token 0.
     Fixture() {
         open();
         writer.submit(first_batch(), 0, start);
@@ -73,14 +73,15 @@
         loop.run_until([&] { return completions.size() >= count; });
     }
 
-    void submit_entry(consensus::Index index, std::string payload = "entry", DiskWriter::TimePoint now = start) {
+    void submit_entry(consensus::Index index, std::string payload = "entry",
+                      DiskWriter::TimePoint now = start) {
         WriteBatch batch;
         batch.append = {command(index, 1, std::move(payload))};
         writer.submit(std::move(batch), index, now);
     }
 
-    // Entry 1 hangs in its sync.
-    void hang() {
+    // Submits entry 1 and blocks in its sync.
+    void block_first_entry() {
         env.hang_syncs();
         submit_entry(1);
         env.await_hanging_sync();
@@ -95,9 +96,9 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture,
-                 "a hanging disk blocks no submit; what queues behind it is one write, told in order") {
-    hang();
+TEST_CASE_METHOD(
+    Fixture, "a hanging disk does not block submit; queued batches become one write and complete in order") {
+    block_first_entry();
     const int before = env.syncs();
     for (consensus::Index index = 2; index <= 6; ++index) submit_entry(index, "entry", start + index * 1s);
     CHECK(completions.empty());
@@ -109,22 +110,23 @@
         CHECK(completions[i].token == i + 1);
         CHECK_FALSE(completions[i].result);
     }
-    CHECK(writer.stop(StopMode::flush, long_enough).stopped);
+    CHECK(writer.stop(StopMode::flush, generous_timeout).stopped);
     CHECK_FALSE(writer.oldest_pending_age(start + 9s));
     CHECK(stored_entries() == 6);
 }
 
-TEST_CASE_METHOD(Fixture, "large batches that queue are not all joined") {
+TEST_CASE_METHOD(Fixture, "queued batches are merged only up to the size limit") {
     constexpr std::size_t large_bytes = 150 * 1024;
-    hang();
+    block_first_entry();
     const int before = env.syncs();
-    for (consensus::Index index = 2; index <= 4; ++index) submit_entry(index, noise(index, large_bytes));
+    for (consensus::Index index = 2; index <= 4; ++index)
+        submit_entry(index, random_bytes(index, large_bytes));
     env.release_syncs();
     await(4);
     CHECK(env.syncs() - before == 4);
 }
 
-TEST_CASE_METHOD(Fixture, "a refused write is told, and writing goes on after another open") {
+TEST_CASE_METHOD(Fixture, "a failed write is reported, and writes succeed again after reopening") {
     env.refuse_writes(true);
     submit_entry(1);
     await(1);
@@ -138,9 +140,8 @@
     CHECK_FALSE(completions[1].result);
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "a stop is bounded where the disk hangs, and says what is dropped and what unknown") {
-    hang();
+TEST_CASE_METHOD(Fixture, "stop is bounded while the disk hangs, and reports abandoned and unknown batches") {
+    block_first_entry();
     submit_entry(2);
     const StopMode mode = GENERATE(StopMode::flush, StopMode::abandon);
     const StopReport hung = writer.stop(mode, 0ms);
@@ -148,11 +149,11 @@
     CHECK(hung.abandoned == std::vector<WriteToken>{2});
     CHECK(hung.unknown == std::vector<WriteToken>{1});
     env.release_syncs();
-    CHECK(writer.stop(StopMode::flush, long_enough).stopped);
+    CHECK(writer.stop(StopMode::flush, generous_timeout).stopped);
     CHECK(stored_entries() == 1);
 }
 
-TEST_CASE("joined batches have the effect of one after the other") {
+TEST_CASE("merged batches have the effect of applying them in order") {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         std::mt19937_64 random(seed);
         consensus::PersistentState expected;
--- a/tests/storage/memory_disk.cpp
+++ b/tests/storage/memory_disk.cpp
@@ -13,10 +13,11 @@
     content.replace(offset, bytes.size(), bytes);
 }
 
-// Draws from the generator alone: the library's distributions differ from one to another.
-class Fate {
+// Decides what survives a power loss. Uses the generator directly, since the distributions of standard
+// libraries differ.
+class SurvivalModel {
   public:
-    Fate(Survival survival, std::uint64_t seed) : survival_(survival), random_(seed) {}
+    SurvivalModel(Survival survival, std::uint64_t seed) : survival_(survival), random_(seed) {}
 
     bool name_survives() {
         if (survival_ == Survival::nothing) return false;
@@ -29,9 +30,9 @@
         const std::uint64_t draw = random_() % 3;
         if (draw == 0) return;
         if (draw == 1) return write_at(content, write.offset, *write.bytes);
-        std::string torn = write.bytes->substr(0, random_() % (write.bytes->size() + 1));
-        if (survival_ == Survival::any_zero_filled) torn.resize(write.bytes->size(), '\0');
-        write_at(content, write.offset, torn);
+        std::string partial = write.bytes->substr(0, random_() % (write.bytes->size() + 1));
+        if (survival_ == Survival::random_zero_filled) partial.resize(write.bytes->size(), '\0');
+        write_at(content, write.offset, partial);
     }
 
   private:
@@ -123,12 +124,12 @@
 }
 
 MemoryDisk MemoryDisk::after_power_loss(Survival survival, std::uint64_t seed) const {
-    Fate fate(survival, seed);
+    SurvivalModel model(survival, seed);
     MemoryDisk after;
     after.next_file_ = next_file_;
     after.names_ = synced_names_;
     for (const UnsyncedName& unsynced : unsynced_names_) {
-        if (!fate.name_survives()) continue;
+        if (!model.name_survives()) continue;
         if (unsynced.change != NameChange::created) after.names_.erase(unsynced.name);
         if (unsynced.change == NameChange::created) after.names_[unsynced.name] = unsynced.file;
         if (unsynced.change == NameChange::renamed) after.names_[unsynced.new_name] = unsynced.file;
@@ -136,7 +137,7 @@
     after.synced_names_ = after.names_;
     for (const auto& [name, file] : after.names_) {
         std::string content = *files_.at(file).synced;
-        for (const UnsyncedWrite& write : files_.at(file).unsynced) fate.apply(content, write);
+        for (const UnsyncedWrite& write : files_.at(file).unsynced) model.apply(content, write);
         DiskFile& kept = after.files_[file];
         kept.size = content.size();
         kept.synced = std::make_shared<const std::string>(std::move(content));
--- a/tests/storage/memory_disk.h
+++ b/tests/storage/memory_disk.h
@@ -1,7 +1,7 @@
-// A model of the disk's file system: what files hold, and what a loss of power may leave of it. A file's name
-// lasts with the file's own sync; a renamed or removed name lasts once the folder has been synced. Of what is
-// not synced each write and each change of a name is there, missing or (a write) torn, each without the
-// others.
+// Model of the target file system: the contents of its files and what a power loss may leave of them. Syncing
+// a file makes its contents and its creation durable; a rename or removal is durable once the folder is
+// synced. Each unsynced write and each unsynced change of a name survives or is lost independently of the
+// others; a write may also survive in part.
 #pragma once
 
 #include <cstdint>
@@ -33,17 +33,18 @@
 
 struct UnsyncedName {
     NameChange change = NameChange::created;
-    std::string name;      // before
-    std::string new_name;  // of a renamed one
+    std::string name;      // before the change
+    std::string new_name;  // of a renamed file
     int file = 0;
 };
 
-// What happens to all that is not synced.
-enum class Survival { nothing, everything, any_prefix_torn, any_zero_filled };
+// What happens to unsynced writes and name changes in a power loss. In the random modes each of them
+// survives, is lost or, for a write, survives in part: truncated, or with zeros in place of the lost bytes.
+enum class Survival { nothing, everything, random_truncated, random_zero_filled };
 inline constexpr Survival all_survivals[] = {Survival::nothing, Survival::everything,
-                                             Survival::any_prefix_torn, Survival::any_zero_filled};
+                                             Survival::random_truncated, Survival::random_zero_filled};
 
-// Copies are cheap: an image of the disk at a moment.
+// Copies are cheap; a copy is an image of the disk at one moment.
 class MemoryDisk {
   public:
     bool exists(const std::string& name) const { return names_.contains(name); }
@@ -53,18 +54,18 @@
     std::string content(int file) const { return files_.at(file).content(); }
     std::vector<std::string> names() const;
 
-    int create(const std::string& name);  // in place of any other
+    int create(const std::string& name);  // replaces a file of that name
     void append(int file, std::string bytes);
     void sync(int file);
     bool rename(const std::string& from, const std::string& to);
     bool remove(const std::string& name);
-    void sync_names();  // of the one folder
+    void sync_names();  // of the folder; the model has only one
 
-    bool all_synced() const;  // a loss of power changes nothing
+    bool all_synced() const;  // a power loss would change nothing
 
-    // The disk after a loss of power.
+    // The disk after a power loss.
     MemoryDisk after_power_loss(Survival survival, std::uint64_t seed) const;
-    // With one bit of a file the other way.
+    // Inverts one bit of a file's synced contents.
     void flip_bit(const std::string& name, std::size_t bit);
 
   private:
--- a/tests/storage/power_loss_env.cpp
+++ b/tests/storage/power_loss_env.cpp
@@ -11,15 +11,15 @@
 using leveldb::Slice;
 using leveldb::Status;
 
-constexpr std::size_t write_buffer_bytes = 65536;  // as LevelDB's on a POSIX system
+constexpr std::size_t write_buffer_bytes = 65536;  // as in LevelDB's POSIX environment
 
-// A store that is refused waits for its background work before open returns: no hold may last for ever.
-constexpr std::chrono::seconds longest_hold{5};
+// Limits how long background work is held: a failing open waits for that work before it returns.
+constexpr std::chrono::seconds max_background_hold{5};
 
 bool is_log(const std::string& name) { return name.ends_with(".log"); }
 bool is_manifest(const std::string& name) { return name.find("/MANIFEST") != std::string::npos; }
 
-// What a reader sees is fixed when it opens: LevelDB reads no file that it still writes.
+// Reads a copy made when the file was opened: LevelDB never reads a file that it is still writing.
 class Reader : public leveldb::SequentialFile, public leveldb::RandomAccessFile {
   public:
     explicit Reader(std::string content) : content_(std::move(content)) {}
@@ -203,7 +203,7 @@
     return status.ok() && !removed ? Status::NotFound(name) : status;
 }
 
-// Folders are names alone here, and always there.
+// Folders always exist in this model.
 Status PowerLossEnv::CreateDir(const std::string&) { return Status::OK(); }
 Status PowerLossEnv::RemoveDir(const std::string&) { return Status::OK(); }
 
@@ -238,7 +238,7 @@
     }
     const auto run = [this, function, argument] {
         std::unique_lock lock(mutex_);
-        changed_.wait_for(lock, longest_hold, [this] { return !background_held_; });
+        changed_.wait_for(lock, max_background_hold, [this] { return !background_held_; });
         lock.unlock();
         function(argument);
         lock.lock();
--- a/tests/storage/power_loss_env.h
+++ b/tests/storage/power_loss_env.h
@@ -1,7 +1,7 @@
-// LevelDB's environment over a MemoryDisk, with LevelDB's own habits on a POSIX system: appends are buffered
-// until a flush, and the folder is synced before a manifest is. A watcher is told of each operation that
-// changes the disk. Work in LevelDB's background thread and writes of its log take turns, so that each run
-// has the same operations.
+// A LevelDB environment on a MemoryDisk that behaves like LevelDB's POSIX environment: appends are buffered
+// until a flush, and the folder is synced before a manifest is. A watcher is called after each operation that
+// changes the disk. LevelDB's background work and writes to its log never overlap, so that every run performs
+// the same operations.
 #pragma once
 
 #include <leveldb/env.h>
@@ -19,7 +19,7 @@
 
 class PowerLossEnv : public leveldb::EnvWrapper {
   public:
-    // Told of the disk after each operation that changes it.
+    // Called with the disk after each operation that changes it.
     using Watcher = std::function<void(const MemoryDisk& disk)>;
 
     explicit PowerLossEnv(MemoryDisk disk = {})
@@ -30,13 +30,12 @@
 
     MemoryDisk disk() const;
     void watch(Watcher watcher) { watcher_ = std::move(watcher); }
-    void refuse_writes(bool refuse);  // with an I/O error
-    void hang_syncs();                // until released
+    void refuse_writes(bool refuse);  // operations that change the disk fail with an I/O error
+    void hang_syncs();                // syncs of log files block until release_syncs()
     void release_syncs();
     void await_hanging_sync();
     int syncs() const;  // of log files
-    // Opens the store; LevelDB's background work starts after it has read all, and has ended when this
-    // returns.
+    // Opens the store. LevelDB's background work starts after the store is read and has ended on return.
     OpenResult open(ReplicaStore& store, const std::string& folder);
 
     leveldb::Status NewSequentialFile(const std::string& name, leveldb::SequentialFile** file) override;
@@ -57,11 +56,11 @@
     leveldb::Status SyncNames();
     leveldb::Status AppendTo(int file, const std::string& bytes);
     leveldb::Status SyncFile(int file, const std::string& name);
-    void AwaitBackground();  // until none is scheduled
+    void AwaitBackground();  // until no background work is scheduled or running
 
   private:
     void hold_background(bool hold);
-    // Runs `change` and tells the watcher; an error where writes are refused.
+    // Applies `change` and calls the watcher; fails while writes are refused.
     leveldb::Status operate(const std::function<void(MemoryDisk&)>& change);
 
     mutable std::mutex mutex_;
--- a/tests/storage/replica_store_test.cpp
+++ b/tests/storage/replica_store_test.cpp
@@ -21,18 +21,18 @@
     return store;
 }
 
-// What a process finds that starts now, with another one killed where it was.
-OpenResult opened_by_next(const PowerLossEnv& env) {
+// What the next process reads if the current one is killed now.
+OpenResult open_after_kill(const PowerLossEnv& env) {
     PowerLossEnv copy(env.disk());
     ReplicaStore store(options_on(copy));
     return store.open(folder);
 }
 
 consensus::PersistentState state_on(const PowerLossEnv& env) {
-    return std::get<consensus::PersistentState>(opened_by_next(env));
+    return std::get<consensus::PersistentState>(open_after_kill(env));
 }
 
-NoState refusal_on(const PowerLossEnv& env) { return std::get<NoState>(opened_by_next(env)); }
+NoState open_failure(const PowerLossEnv& env) { return std::get<NoState>(open_after_kill(env)); }
 
 WriteBatch entries(consensus::Index first, consensus::Index last) {
     WriteBatch batch;
@@ -46,15 +46,15 @@
     return batch;
 }
 
-// A store that holds entries 1 to 9 and was closed.
-void fill(PowerLossEnv& env) {
+// Creates and closes a store with entries 1 to 9.
+void store_nine_entries(PowerLossEnv& env) {
     const auto store = opened(env);
     REQUIRE_FALSE(store->write(first_batch()));
     for (consensus::Index index = 1; index <= 9; ++index) REQUIRE_FALSE(store->write(entries(index, index)));
 }
 
-// Looks at or changes the database behind the store's back.
-void change(PowerLossEnv& env, const std::function<void(leveldb::DB&)>& function) {
+// Reads or modifies the database directly, without the store.
+void modify_database(PowerLossEnv& env, const std::function<void(leveldb::DB&)>& function) {
     leveldb::Options options;
     options.env = &env;
     leveldb::DB* database = nullptr;
@@ -63,8 +63,8 @@
     function(*database);
 }
 
-void alter_value(PowerLossEnv& env, const std::string& key, const std::function<void(std::string&)>& alter) {
-    change(env, [&](leveldb::DB& database) {
+void modify_value(PowerLossEnv& env, const std::string& key, const std::function<void(std::string&)>& alter) {
+    modify_database(env, [&](leveldb::DB& database) {
         std::string value;
         REQUIRE(database.Get({}, key, &value).ok());
         alter(value);
@@ -74,7 +74,7 @@
 
 std::size_t count_keys(PowerLossEnv& env) {
     std::size_t count = 0;
-    change(env, [&](leveldb::DB& database) {
+    modify_database(env, [&](leveldb::DB& database) {
         const std::unique_ptr<leveldb::Iterator> at(database.NewIterator({}));
         for (at->SeekToFirst(); at->Valid(); at->Next()) ++count;
     });
@@ -83,7 +83,7 @@
 
 std::size_t largest_value(PowerLossEnv& env) {
     std::size_t largest = 0;
-    change(env, [&](leveldb::DB& database) {
+    modify_database(env, [&](leveldb::DB& database) {
         const std::unique_ptr<leveldb::Iterator> at(database.NewIterator({}));
         for (at->SeekToFirst(); at->Valid(); at->Next()) largest = std::max(largest, at->value().size());
     });
@@ -105,56 +105,57 @@
 
 }  // namespace
 
-TEST_CASE("a flipped bit in any byte of a value is found and its key named") {
+TEST_CASE("a flipped bit in any byte of a value is detected and its key reported") {
     PowerLossEnv env;
-    fill(env);
+    store_nine_entries(env);
     const std::string key =
         GENERATE(as<std::string>(), keys::entry(5), std::string(keys::hard_state), std::string(keys::self));
     std::size_t length = 0;
-    alter_value(env, key, [&](std::string& value) { length = value.size(); });
+    modify_value(env, key, [&](std::string& value) { length = value.size(); });
     for (std::size_t at = 0; at < length; ++at) {
         PowerLossEnv flipped(env.disk());
-        alter_value(flipped, key, [&](std::string& value) {
+        modify_value(flipped, key, [&](std::string& value) {
             value[at] = static_cast<char>(value[at] ^ (1U << (at % bits_per_byte)));
         });
-        const NoState refusal = refusal_on(flipped);
-        CHECK(refusal.reason == NoStateReason::corrupt);
-        CHECK(refusal.where == key);
+        const NoState failure = open_failure(flipped);
+        CHECK(failure.reason == NoStateReason::corrupt);
+        CHECK(failure.where == key);
     }
 }
 
-TEST_CASE("a missing entry, one under another's key and an unknown key are named") {
+TEST_CASE("a missing entry, an entry under another key and an unknown key are reported") {
     PowerLossEnv env;
-    fill(env);
+    store_nine_entries(env);
     const std::string key = keys::entry(5);
-    std::string named = keys::entry(6);
+    std::string expected_where = keys::entry(6);
     SECTION("missing") {
-        change(env, [&](leveldb::DB& database) { REQUIRE(database.Delete({}, key).ok()); });
+        modify_database(env, [&](leveldb::DB& database) { REQUIRE(database.Delete({}, key).ok()); });
     }
-    SECTION("of another index") {
-        named = key;
+    SECTION("stored under another key") {
+        expected_where = key;
         std::string other;
-        alter_value(env, keys::entry(6), [&](std::string& value) { other = value; });
-        alter_value(env, key, [&](std::string& value) { value = other; });
+        modify_value(env, keys::entry(6), [&](std::string& value) { other = value; });
+        modify_value(env, key, [&](std::string& value) { value = other; });
     }
     SECTION("a write between two others is missing") {
-        named = keys::write_marker(10);  // the last one; the marker of the second should have gone
+        expected_where = keys::write_marker(10);  // the last marker; that of write 2 should be deleted
         const std::string left = keys::write_marker(2);
-        change(env, [&](leveldb::DB& database) { REQUIRE(database.Put({}, left, frame_value(left, "")).ok()); });
+        modify_database(
+            env, [&](leveldb::DB& database) { REQUIRE(database.Put({}, left, frame_value(left, "")).ok()); });
     }
-    SECTION("unknown") {
-        named = "name";
-        change(env, [&](leveldb::DB& database) { REQUIRE(database.Put({}, named, "value").ok()); });
+    SECTION("unknown key") {
+        expected_where = "name";
+        modify_database(
+            env, [&](leveldb::DB& database) { REQUIRE(database.Put({}, expected_where, "value").ok()); });
     }
-    const NoState refusal = refusal_on(env);
-    CHECK(refusal.reason == NoStateReason::corrupt);
-    CHECK(refusal.where == named);
+    const NoState failure = open_failure(env);
+    CHECK(failure.reason == NoStateReason::corrupt);
+    CHECK(failure.where == expected_where);
 }
 
-TEST_CASE(
-    "a flipped bit anywhere in LevelDB's log or manifest never yields another state than one that was") {
+TEST_CASE("a flipped bit anywhere in LevelDB's log or manifest never yields a state that was not stored") {
     PowerLossEnv env;
-    fill(env);
+    store_nine_entries(env);
     const std::size_t known = state_on(env).entries.size();
     const PowerLossEnv before(env.disk());
     PowerLossEnv writing(before.disk());
@@ -175,35 +176,36 @@
         const OpenResult result = store.open(folder);
         const auto* state = std::get_if<consensus::PersistentState>(&result);
         if (state == nullptr) ++refused;
-        // The last write can't be told from one that was torn before it was acknowledged.
+        // A corrupt last write cannot be distinguished from an incomplete, unacknowledged one.
         if (state != nullptr) CHECK(state->entries.size() >= known + 4);
     }
     CHECK(refused > bytes / 2);
 }
 
-TEST_CASE("a lost CURRENT is refused, not taken for an empty disk") {
+TEST_CASE("a missing CURRENT is reported as corruption, not as an empty disk") {
     PowerLossEnv env;
-    fill(env);
+    store_nine_entries(env);
     REQUIRE(env.RemoveFile(std::string(folder) + "/CURRENT").ok());
-    CHECK(refusal_on(env).reason == NoStateReason::corrupt);
+    CHECK(open_failure(env).reason == NoStateReason::corrupt);
 }
 
-TEST_CASE("a value of another format version is refused as such") {
+TEST_CASE("a value of another format version is reported as incompatible") {
     PowerLossEnv env;
-    fill(env);
+    store_nine_entries(env);
     const std::string key = keys::entry(5);
-    alter_value(env, key,
-                [&](std::string& value) { value = frame_value(key, value.substr(value_header_bytes), format_version + 1); });
-    const NoState refusal = refusal_on(env);
-    CHECK(refusal.reason == NoStateReason::incompatible_version);
-    CHECK(refusal.where == key);
+    modify_value(env, key, [&](std::string& value) {
+        value = frame_value(key, value.substr(value_header_bytes), format_version + 1);
+    });
+    const NoState failure = open_failure(env);
+    CHECK(failure.reason == NoStateReason::incompatible_version);
+    CHECK(failure.where == key);
 }
 
-TEST_CASE("a snapshot replaces the entries up to it and the snapshot before") {
+TEST_CASE("a snapshot replaces the previous snapshot and the entries it covers") {
     PowerLossEnv env;
-    fill(env);
+    store_nine_entries(env);
     const auto store = opened(env);
-    REQUIRE_FALSE(store->write(snapshot(3, noise(1, 200'000))));
+    REQUIRE_FALSE(store->write(snapshot(3, random_bytes(1, 200'000))));
     REQUIRE_FALSE(store->write(snapshot(7, "second")));
     const consensus::PersistentState state = state_on(env);
     CHECK(state.snapshot->data == "second");
@@ -211,11 +213,11 @@
     CHECK(state.entries.front().index == 8);
 }
 
-TEST_CASE("a snapshot of 5 MB comes back, in values of 64 KiB at most, and its room is given back") {
+TEST_CASE("a 5 MB snapshot is stored in values of at most 64 KiB, read back, and its space is reclaimed") {
     constexpr std::size_t bytes = 5'000'000;
     PowerLossEnv env;
-    fill(env);
-    const std::string data = noise(7, bytes);
+    store_nine_entries(env);
+    const std::string data = random_bytes(7, bytes);
     const auto store = opened(env);
     for (int round = 0; round < 5; ++round) REQUIRE_FALSE(store->write(snapshot(9, data)));
     CHECK(store->approximate_bytes() < 5 * bytes);
@@ -224,14 +226,14 @@
     CHECK(largest_value(copy) <= 64 * 1024);
 }
 
-TEST_CASE("chunks of a snapshot that was never finished are deleted by the next write") {
+TEST_CASE("chunks of a snapshot that was never completed are deleted by the next write") {
     PowerLossEnv env;
-    fill(env);
+    store_nine_entries(env);
     const std::size_t keys_before = count_keys(env);
     std::vector<MemoryDisk> images;
     const auto store = opened(env);
     env.watch([&](const MemoryDisk& disk) { images.push_back(disk); });
-    REQUIRE_FALSE(store->write(snapshot(3, noise(1, 400'000))));
+    REQUIRE_FALSE(store->write(snapshot(3, random_bytes(1, 400'000))));
     std::size_t with_chunks = 0;
     for (const MemoryDisk& image : images) {
         PowerLossEnv later(image);
@@ -243,10 +245,11 @@
     CHECK(with_chunks > 0);
 }
 
-TEST_CASE("a batch that would leave a gap or undo the snapshot is refused whole, and the store goes on") {
+TEST_CASE(
+    "a batch that leaves a gap or undoes the snapshot is rejected completely, and later writes succeed") {
     PowerLossEnv env;
     const auto store = opened(env);
-    CHECK(fault_of(store->write(entries(1, 1))) == WriteFault::invalid_batch);  // no self yet
+    CHECK(fault_of(store->write(entries(1, 1))) == WriteFault::invalid_batch);  // `self` is missing
     REQUIRE_FALSE(store->write(first_batch()));
     REQUIRE_FALSE(store->write(entries(1, 5)));
     REQUIRE_FALSE(store->write(snapshot(3, "snapshot")));
@@ -261,9 +264,9 @@
     CHECK(state_on(env).entries.size() == 3);
 }
 
-TEST_CASE("after a refused write nothing is written until the store is opened again") {
+TEST_CASE("after a failed write nothing is written until the store is reopened") {
     PowerLossEnv env;
-    fill(env);
+    store_nine_entries(env);
     const auto store = opened(env);
     env.refuse_writes(true);
     CHECK(fault_of(store->write(entries(10, 10))) == WriteFault::io_error);
@@ -274,9 +277,9 @@
     CHECK_FALSE(store->write(entries(next, next)));
 }
 
-TEST_CASE("a discarded store is empty and takes a new replica") {
+TEST_CASE("a discarded store is empty and accepts a new replica") {
     PowerLossEnv env;
-    fill(env);
+    store_nine_entries(env);
     const auto store = opened(env);
     CHECK(store->discard_all().reason == NoStateReason::empty);
     WriteBatch batch = first_batch();
--- a/tests/storage/scripted_history.cpp
+++ b/tests/storage/scripted_history.cpp
@@ -17,8 +17,8 @@
 using consensus::Snapshot;
 
 constexpr std::size_t writes = 32;
-constexpr std::size_t writes_a_life = 7;  // between closings
-constexpr std::size_t smallest_write_buffer = 64 * 1024;
+constexpr std::size_t writes_per_run = 7;  // between restarts
+constexpr std::size_t min_write_buffer_bytes = 64 * 1024;
 
 const Membership three_voters{{{11, "10.0.0.1:7460"}, {12, "10.0.0.2:7460"}, {13, "10.0.0.3:7460"}}, {}};
 
@@ -49,7 +49,7 @@
     void add_entries(WriteBatch& batch, Index index) {
         const std::uint64_t count = 1 + random_() % 4;
         for (std::uint64_t i = 0; i < count; ++i) {
-            batch.append.push_back(command(index + i, term_, noise(random_(), random_() % 4000)));
+            batch.append.push_back(command(index + i, term_, random_bytes(random_(), random_() % 4000)));
         }
         batch.append.back().kind = EntryKind::membership;
         batch.append.back().membership = three_voters;
@@ -80,14 +80,14 @@
     }
 
     Snapshot snapshot(Index index) {
-        return {index, term_, three_voters, noise(random_(), random_() % 8 == 0 ? 300'000 : 12'000)};
+        return {index, term_, three_voters, random_bytes(random_(), random_() % 8 == 0 ? 300'000 : 12'000)};
     }
 
     std::mt19937_64 random_;
     consensus::Term term_ = 1;
 };
 
-// The machine: its disk with the environment on it, and the store of the process that runs.
+// The simulated machine: its disk, the environment on it, and the store of the running process.
 class Machine {
   public:
     Machine(History& history, bool sync_renames) : history_(history), sync_renames_(sync_renames) {
@@ -108,7 +108,7 @@
     void lose_power(std::uint64_t seed) {
         const MemoryDisk disk = env_->disk();
         store_.reset();
-        // All that is not synced is there: the other fates are the images'.
+        // All unsynced changes survive; the tests apply the other modes to the images.
         start(disk.after_power_loss(Survival::everything, seed));
     }
 
@@ -148,7 +148,7 @@
     return batch;
 }
 
-std::string noise(std::uint64_t seed, std::size_t length) {
+std::string random_bytes(std::uint64_t seed, std::size_t length) {
     std::mt19937 random(static_cast<std::mt19937::result_type>(seed));
     std::string text(length, '\0');
     for (char& byte : text) byte = static_cast<char>(random());
@@ -172,7 +172,7 @@
            left.snapshot == right.snapshot && left.entries == right.entries;
 }
 
-History play_history(std::uint64_t seed, bool sync_renames) {
+History run_history(std::uint64_t seed, bool sync_renames) {
     History history;
     Script script(seed);
     Machine machine(history, sync_renames);
@@ -183,9 +183,9 @@
         machine.write(batch);
         apply(state, batch);
         history.states.push_back(state);
-        if (number % (2 * writes_a_life) == 0) {
+        if (number % (2 * writes_per_run) == 0) {
             machine.lose_power(seed);
-        } else if (number % writes_a_life == 0) {
+        } else if (number % writes_per_run == 0) {
             machine.restart();
         }
     }
@@ -194,7 +194,7 @@
 
 ReplicaStoreOptions options_on(PowerLossEnv& env, bool sync_renames) {
     ReplicaStoreOptions options = env.store_options();
-    options.write_buffer_bytes = smallest_write_buffer;
+    options.write_buffer_bytes = min_write_buffer_bytes;
     if (!sync_renames) options.sync_folder = [](const std::string&) { return leveldb::Status::OK(); };
     return options;
 }
