--- a/src/configuration/checks.h
+++ b/src/configuration/checks.h
@@ -1,5 +1,5 @@
-// Checks of a configuration whose fields were all read: what each route must hold to, what holds between the
-// parts, and whether everything in it can be served at all.
+// Semantic checks of a configuration whose fields were all parsed: rules for each route, references and
+// uniqueness between the sections, and whether every part can be served at all.
 #pragma once
 
 #include <optional>
@@ -9,12 +9,12 @@
 
 namespace dewweir::configuration {
 
-// The first thing that is wrong.
+// Returns the first violation found, or nothing for a valid configuration.
 std::optional<Rejection> check_configuration(const Configuration& configuration);
 
-// The first thing that would be in force and could never be served: a route without time or host name, a
-// service that takes no connection, a limit that no client can keep. Asked of what operators send, not of
-// what is in force: an earlier build may have taken it.
+// Returns the first part that could never be served: a route without time or host name, a service that
+// accepts no connection, a limit that no client can meet. Applied to configurations that operators submit,
+// not to the one in force, which an earlier build may have accepted without this check.
 std::optional<Rejection> check_servable(const Configuration& configuration);
 
 }  // namespace dewweir::configuration
--- a/src/configuration/home_regions.cpp
+++ b/src/configuration/home_regions.cpp
@@ -13,10 +13,10 @@
         regions = std::move(homes);
         return;
     }
-    std::vector<RegionName> both;
+    std::vector<RegionName> common;
     std::set_intersection(regions->begin(), regions->end(), homes.begin(), homes.end(),
-                          std::back_inserter(both));
-    regions = std::move(both);
+                          std::back_inserter(common));
+    regions = std::move(common);
 }
 
 bool allows(const HomeRegions& regions, const RegionName& region) {
--- a/src/configuration/home_regions.h
+++ b/src/configuration/home_regions.h
@@ -1,4 +1,5 @@
-// The regions that routes and tenants may be served in: all, until lists of homes restrict them. Pure.
+// Set of regions that may serve a route or a tenant: all regions, unless lists of home regions restrict it.
+// Pure functions.
 #pragma once
 
 #include <optional>
@@ -8,12 +9,13 @@
 
 namespace dewweir::configuration {
 
-// Sorted; nothing: all regions. An empty list: none.
+// Sorted names. Absent: all regions are allowed. An empty list: no region is allowed.
 using HomeRegions = std::optional<std::vector<RegionName>>;
 
-// Leaves those regions that are also among `homes`. An empty `homes` restricts nothing.
+// Intersects `regions` with `homes`. An empty `homes` means no restriction and changes nothing.
 void restrict_to(HomeRegions& regions, std::vector<RegionName> homes);
 
+// Whether `region` is in the set.
 bool allows(const HomeRegions& regions, const RegionName& region);
 
 }  // namespace dewweir::configuration
--- a/src/configuration/json_reader.cpp
+++ b/src/configuration/json_reader.cpp
@@ -9,27 +9,27 @@
 namespace dewweir::configuration {
 namespace {
 
-std::string_view view_of(const rapidjson::Value& value) {
+std::string_view string_view_of(const rapidjson::Value& value) {
     return {value.GetString(), value.GetStringLength()};
 }
 
 }  // namespace
 
-// RFC 6901; the names of fields that are read hold no '/' and no '~'.
-std::string Place::pointer() const {
+// RFC 6901. Needs no escaping: no field that is read has '/' or '~' in its name.
+std::string JsonLocation::pointer() const {
     if (parent == nullptr) return "";
     const std::string last = index ? std::to_string(*index) : std::string(name);
     return parent->pointer() + '/' + last;
 }
 
-void Rejections::add(Reason reason, const Place& place, std::string advice) {
-    if (first_) return;
-    first_ = Rejection{reason, place.pointer(), std::move(advice)};
+void FirstRejection::add(Reason reason, const JsonLocation& location, std::string advice) {
+    if (rejection_) return;
+    rejection_ = Rejection{reason, location.pointer(), std::move(advice)};
 }
 
-JsonReader::JsonReader(const rapidjson::Value& value, const Place& place, Rejections& rejections)
-    : value_(value), place_(place), rejections_(rejections) {
-    if (!value.IsObject()) rejections.add(Reason::wrong_type, place, "must be an object");
+JsonReader::JsonReader(const rapidjson::Value& value, const JsonLocation& location, FirstRejection& rejection)
+    : value_(value), location_(location), rejection_(rejection) {
+    if (!value.IsObject()) rejection.add(Reason::wrong_type, location, "must be an object");
 }
 
 const rapidjson::Value* JsonReader::find(std::string_view name) const {
@@ -47,29 +47,29 @@
 }
 
 void JsonReader::reject(Reason reason, std::string_view name, std::string advice) {
-    rejections_.add(reason, at(name), std::move(advice));
+    rejection_.add(reason, at(name), std::move(advice));
 }
 
 std::string JsonReader::to_text(const rapidjson::Value& value, std::string_view name) {
-    if (value.IsString()) return std::string(view_of(value));
+    if (value.IsString()) return std::string(string_view_of(value));
     reject(Reason::wrong_type, name, "must be a text");
     return {};
 }
 
 std::chrono::milliseconds JsonReader::to_time(const rapidjson::Value& value, std::string_view name) {
-    using settings::DurationFault;
+    using settings::DurationError;
     if (!value.IsString()) {
         reject(Reason::wrong_type, name, "must be a text like 1500ms or 2.5s");
         return {};
     }
-    const settings::ParsedDuration parsed = settings::parse_duration(view_of(value));
-    if (!parsed.fault) return parsed.value;
-    switch (*parsed.fault) {
-        case DurationFault::malformed:
+    const settings::ParsedDuration parsed = settings::parse_duration(string_view_of(value));
+    if (!parsed.error) return parsed.value;
+    switch (*parsed.error) {
+        case DurationError::malformed:
             reject(Reason::malformed_time, name, "must be a number and its unit, like 1500ms or 2.5s");
             break;
-        case DurationFault::negative: reject(Reason::negative_number, name, "must be 0ms or more"); break;
-        case DurationFault::too_long:
+        case DurationError::negative: reject(Reason::negative_number, name, "must be 0ms or more"); break;
+        case DurationError::too_long:
             reject(Reason::number_out_of_range, name, "must be a year or less");
             break;
     }
@@ -116,8 +116,8 @@
     return number;
 }
 
-// Whole numbers may also be written like 2.0.
-std::uint64_t JsonReader::whole_or(std::string_view name, std::uint64_t fallback, std::uint64_t largest) {
+// An integer may also be written with a zero fraction, like 2.0.
+std::uint64_t JsonReader::integer_or(std::string_view name, std::uint64_t fallback, std::uint64_t largest) {
     const double number = number_or(name, static_cast<double>(fallback));
     const rapidjson::Value* value = find(name);
     if (value == nullptr || !value->IsNumber() || number < 0.0) return fallback;
@@ -125,36 +125,36 @@
         reject(Reason::wrong_type, name, "must be a whole number");
         return fallback;
     }
-    constexpr double kExactWhole = 9007199254740992.0;  // 2^53
-    const bool too_large = number > kExactWhole || number > static_cast<double>(largest);
+    constexpr double kLargestExactInteger = 9007199254740992.0;  // 2^53: above it a double skips integers
+    const bool too_large = number > kLargestExactInteger || number > static_cast<double>(largest);
     if (too_large) reject(Reason::number_out_of_range, name, "is too large");
     return too_large ? fallback : static_cast<std::uint64_t>(number);
 }
 
 std::uint32_t JsonReader::count_or(std::string_view name, std::uint32_t fallback) {
-    return static_cast<std::uint32_t>(whole_or(name, fallback, std::numeric_limits<std::uint32_t>::max()));
+    return static_cast<std::uint32_t>(integer_or(name, fallback, std::numeric_limits<std::uint32_t>::max()));
 }
 
 std::uint64_t JsonReader::size_or(std::string_view name, std::uint64_t fallback) {
-    return whole_or(name, fallback, std::numeric_limits<std::uint64_t>::max());
+    return integer_or(name, fallback, std::numeric_limits<std::uint64_t>::max());
 }
 
 std::vector<std::string> JsonReader::texts(std::string_view name) {
-    std::vector<std::string> words;
-    if (find(name) == nullptr) return words;
+    std::vector<std::string> strings;
+    if (find(name) == nullptr) return strings;
     const rapidjson::Value* elements = list(name);
-    if (elements == nullptr) return words;
-    const Place here = at(name);
-    words.reserve(elements->Size());
+    if (elements == nullptr) return strings;
+    const JsonLocation here = at(name);
+    strings.reserve(elements->Size());
     for (const auto& element : elements->GetArray()) {
-        const Place place{&here, {}, words.size()};
+        const JsonLocation location{&here, {}, strings.size()};
         if (!element.IsString()) {
-            rejections_.add(Reason::wrong_type, place, "must be a text");
-            return words;
+            rejection_.add(Reason::wrong_type, location, "must be a text");
+            return strings;
         }
-        words.emplace_back(view_of(element));
+        strings.emplace_back(string_view_of(element));
     }
-    return words;
+    return strings;
 }
 
 const rapidjson::Value* JsonReader::list(std::string_view name) {
--- a/src/configuration/parser.cpp
+++ b/src/configuration/parser.cpp
@@ -11,25 +11,25 @@
 namespace dewweir::configuration {
 namespace {
 
-constexpr std::uint32_t kFewestTries = 1;
+constexpr std::uint32_t kMinTries = 1;  // a configured 0 is raised to it
 constexpr std::string_view kDefaultProtocol = "h1";
 
-// Iterative, so that no depth of nesting can use up the stack.
+// The iterative parser: deeply nested input cannot overflow the stack.
 constexpr unsigned kParseFlags = rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag;
 
-// Reads every element of a list, which must be there.
+// Reads every element of a required list; stops at the first error.
 template <typename Element>
 std::vector<Element> read_list(JsonReader& reader, std::string_view name, Element (*read)(JsonReader&)) {
     std::vector<Element> elements;
     const rapidjson::Value* list = reader.list(name);
     if (list == nullptr) return elements;
     elements.reserve(list->Size());
-    const Place here = reader.at(name);
+    const JsonLocation here = reader.at(name);
     for (const auto& value : list->GetArray()) {
-        const Place place{&here, {}, elements.size()};
-        JsonReader element(value, place, reader.rejections());
+        const JsonLocation location{&here, {}, elements.size()};
+        JsonReader element(value, location, reader.rejection());
         elements.push_back(read(element));
-        if (reader.rejections().any()) break;
+        if (reader.rejection().present()) break;
     }
     return elements;
 }
@@ -51,7 +51,8 @@
     return backend;
 }
 
-// Where a route has both, `backend` counts only if `weighted_backends` is empty.
+// Reads `weighted_backends`, or the single `backend`. If a route has both, `backend` is used only when
+// `weighted_backends` is empty.
 std::vector<WeightedBackend> read_backends(JsonReader& reader) {
     constexpr std::string_view kWeighted = "weighted_backends";
     if (reader.find(kWeighted) == nullptr) return {WeightedBackend{reader.text("backend")}};
@@ -71,7 +72,7 @@
     route.target_latency = reader.time("target_latency");
     route.priority = reader.count_or("priority", route.priority);
     route.backends = read_backends(reader);
-    route.max_tries = std::max(kFewestTries, reader.count_or("max_tries", route.max_tries));
+    route.max_tries = std::max(kMinTries, reader.count_or("max_tries", route.max_tries));
     route.anonymous = reader.flag_or("anonymous", route.anonymous);
     route.home_regions = reader.texts("home_regions");
     return route;
@@ -106,8 +107,8 @@
     ClientLimits limits;
     const rapidjson::Value* value = reader.find("limits");
     if (value == nullptr) return limits;
-    const Place place = reader.at("limits");
-    JsonReader fields(*value, place, reader.rejections());
+    const JsonLocation location = reader.at("limits");
+    JsonReader fields(*value, location, reader.rejection());
     limits.max_header_bytes = fields.size_or("max_header_bytes", limits.max_header_bytes);
     limits.max_body_bytes = fields.size_or("max_body_bytes", limits.max_body_bytes);
     limits.header_timeout = fields.time_or("header_timeout", limits.header_timeout);
@@ -133,7 +134,7 @@
     return configuration;
 }
 
-std::string why_not_json(const rapidjson::Document& document) {
+std::string json_error(const rapidjson::Document& document) {
     const std::string what = rapidjson::GetParseError_En(document.GetParseError());
     return what + " (byte " + std::to_string(document.GetErrorOffset()) + ')';
 }
@@ -168,19 +169,19 @@
 }
 
 ParseResult parse_configuration(std::string_view json) {
-    // RapidJSON takes a zero byte for the end of the text and would overlook what stands after it.
+    // RapidJSON takes a zero byte for the end of the text and would ignore everything after it.
     if (json.find('\0') != std::string_view::npos)
         return Rejection{Reason::not_json, "", "holds a zero byte"};
-    // In place, in a copy: RapidJSON then copies no text again, and reads twice as fast.
+    // Parses a copy in place: RapidJSON then copies no strings, which halves the parsing time.
     std::string buffer(json);
     rapidjson::Document document;
     document.ParseInsitu<kParseFlags>(buffer.data());
-    if (document.HasParseError()) return Rejection{Reason::not_json, "", why_not_json(document)};
-    const Place root;
-    Rejections rejections;
-    JsonReader reader(document, root, rejections);
+    if (document.HasParseError()) return Rejection{Reason::not_json, "", json_error(document)};
+    const JsonLocation root;
+    FirstRejection rejection;
+    JsonReader reader(document, root, rejection);
     Configuration configuration = read_configuration(reader);
-    if (rejections.any()) return *rejections.first();
+    if (rejection.present()) return *rejection.get();
     if (auto fault = check_configuration(configuration)) return std::move(*fault);
     return configuration;
 }
--- a/src/configuration/version.cpp
+++ b/src/configuration/version.cpp
@@ -16,8 +16,8 @@
     Version version;
     const char* end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, version.number, kBase);
-    const bool whole = error == std::errc{} && stop == end;
-    if (!whole) return std::nullopt;
+    const bool complete = error == std::errc{} && stop == end;
+    if (!complete) return std::nullopt;
     return version;
 }
 
@@ -30,8 +30,8 @@
 
 std::string to_string(Version version) {
     std::string digits(kDigits, '0');
-    for (std::size_t at = kDigits; at > 0; --at) {
-        digits[at - 1] = "0123456789abcdef"[version.number % kBase];
+    for (std::size_t position = kDigits; position > 0; --position) {
+        digits[position - 1] = "0123456789abcdef"[version.number % kBase];
         version.number /= kBase;
     }
     return digits;
--- a/src/configuration/version.h
+++ b/src/configuration/version.h
@@ -1,4 +1,4 @@
-// The version of a configuration, in bodies eight hexadecimal digits.
+// Version number of a configuration, written as eight hexadecimal digits in HTTP bodies and files.
 #pragma once
 
 #include <compare>
@@ -10,18 +10,19 @@
 namespace dewweir::configuration {
 
 struct Version {
-    std::uint32_t number = 0;  // 0 is before the first configuration
+    std::uint32_t number = 0;  // 0 precedes the first configuration
 
     auto operator<=>(const Version&) const = default;
 };
 
-// Eight hexadecimal digits, of either case; nothing for any other text.
+// Parses exactly eight hexadecimal digits of either case; returns nothing for any other text.
 std::optional<Version> parse_version(std::string_view text);
 
-// The value of If-Match: a version, or "0" before the first configuration; may stand in quotes.
+// Parses the value of an If-Match header, with or without double quotes: a version, or "0" for the state
+// before the first configuration. Returns nothing for any other text.
 std::optional<Version> parse_if_match(std::string_view text);
 
-// Eight digits in lower case.
+// Eight lower-case hexadecimal digits.
 std::string to_string(Version version);
 
 }  // namespace dewweir::configuration
--- a/src/control/instance_list.cpp
+++ b/src/control/instance_list.cpp
@@ -30,7 +30,7 @@
     const std::optional<std::string> text = text_at(entry, pointer);
     if (!text) return 0;
     const settings::ParsedDuration duration = settings::parse_duration(*text);
-    return duration.fault ? 0 : static_cast<std::uint32_t>(duration.value.count());
+    return duration.error ? 0 : static_cast<std::uint32_t>(duration.value.count());
 }
 
 std::optional<wire::Instance> parse_instance(const Value& entry, const std::string& zone) {
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -19,7 +19,7 @@
         if (member.zone == client_.zone) in_zone_.push_back(member.front);
         if (member.region == client_.region) {
             in_region_.push_back(member.front);
-        } else if (table_ && configuration::allows(table_->homes(client_.hostname), member.region)) {
+        } else if (table_ && configuration::allows(table_->home_regions(client_.hostname), member.region)) {
             add_elsewhere(member);
         }
     }
@@ -33,7 +33,7 @@
   private:
     // Only regions that are a home to as many tenants as any are kept.
     void add_elsewhere(const wire::Member& member) {
-        const std::size_t tenants = table_->tenants_at_home(member.region);
+        const std::size_t tenants = table_->tenants_with_home(member.region);
         if (tenants < most_tenants_) return;
         if (tenants > most_tenants_) elsewhere_.clear();
         most_tenants_ = tenants;
--- a/src/gateway/process.cpp
+++ b/src/gateway/process.cpp
@@ -139,7 +139,7 @@
     }
 
     std::optional<std::string> listen_all() {
-        const settings::Bind& bind = settings_.network.bind;
+        const settings::ListenAddresses& bind = settings_.network.bind;
         std::optional<std::string> fault =
             quotas_.bind(transport::udp_endpoint(process::internal_endpoint(settings_)));
         if (!fault && bind.front) fault = proxy_.front().listen(transport::tcp_endpoint(*bind.front));
--- a/src/process/identity.cpp
+++ b/src/process/identity.cpp
@@ -13,7 +13,7 @@
 }
 
 wire::Member describe_process(const settings::Settings& settings, wire::Role role) {
-    const settings::Bind& bind = settings.network.bind;
+    const settings::ListenAddresses& bind = settings.network.bind;
     wire::Member self;
     self.node = settings.self.node;
     self.life = std::random_device{}();
--- a/src/settings/document.h
+++ b/src/settings/document.h
@@ -1,4 +1,4 @@
-// The lines of a settings file as a tree: `a.b=value` is the text at the JSON pointer /a/b.
+// Parses the lines of a settings file into a tree: `a.b=value` becomes the string at the JSON pointer /a/b.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -10,10 +10,11 @@
 
 namespace dewweir::settings {
 
-// The key whose parts below it are names, which may hold dots themselves: network.zones.NAME=region.
+// Prefix of the keys network.zones.NAME=region, whose NAME may itself contain dots.
 inline constexpr std::string_view kZonesKey = "network.zones";
 
-// An object whose leaves are the texts of the known keys, or the line that is no key=value.
+// Returns an object whose leaves are the values of the known keys, as strings; or an error for the first line
+// that is not key=value.
 std::variant<rapidjson::Document, SettingsError> read_lines(std::string_view text);
 
 }  // namespace dewweir::settings
--- a/src/settings/duration.cpp
+++ b/src/settings/duration.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kMillisecondsPerSecond = 1000.0;
 
-ParsedDuration failed(DurationFault fault) { return {std::chrono::milliseconds{0}, fault}; }
+ParsedDuration failed(DurationError error) { return {std::chrono::milliseconds{0}, error}; }
 
 }  // namespace
 
@@ -16,18 +16,18 @@
     double number = 0.0;
     const char* end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, number);
-    if (error != std::errc{}) return failed(DurationFault::malformed);
+    if (error != std::errc{}) return failed(DurationError::malformed);
     const std::string_view unit(stop, static_cast<std::size_t>(end - stop));
-    if (unit != "ms" && unit != "s") return failed(DurationFault::malformed);
-    if (std::isnan(number)) return failed(DurationFault::malformed);
-    if (number < 0.0) return failed(DurationFault::negative);
+    if (unit != "ms" && unit != "s") return failed(DurationError::malformed);
+    if (std::isnan(number)) return failed(DurationError::malformed);
+    if (number < 0.0) return failed(DurationError::negative);
     const double milliseconds = unit == "s" ? number * kMillisecondsPerSecond : number;
-    if (milliseconds > static_cast<double>(kLongestDuration.count())) return failed(DurationFault::too_long);
-    // The product of a decimal fraction and 1000 may be off by the last bit: 0.0011s is not to become 2 ms
-    // for that.
+    if (milliseconds > static_cast<double>(kLongestDuration.count())) return failed(DurationError::too_long);
+    // Multiplying a decimal fraction by 1000 may be off by the last bit: 2.007 * 1000 is above 2007. Without
+    // the allowance 2.007s would be rounded up to 2008 ms.
     constexpr double kRoundingError = 1e-6;
-    const double whole = std::ceil(milliseconds - kRoundingError);
-    return {std::chrono::milliseconds{static_cast<std::int64_t>(whole)}, std::nullopt};
+    const double rounded_up = std::ceil(milliseconds - kRoundingError);
+    return {std::chrono::milliseconds{static_cast<std::int64_t>(rounded_up)}, std::nullopt};
 }
 
 }  // namespace dewweir::settings
--- a/src/settings/duration.h
+++ b/src/settings/duration.h
@@ -1,4 +1,5 @@
-// Times as the settings file and the operator's configuration write them: a number and its unit, `ms` or `s`.
+// Parses times as written in settings files and in the operator's configuration: a number with the unit `ms`
+// or `s`.
 #pragma once
 
 #include <chrono>
@@ -7,8 +8,8 @@
 
 namespace dewweir::settings {
 
-enum class DurationFault {
-    malformed,  // no number with a unit
+enum class DurationError {
+    malformed,  // not a number followed by a unit
     negative,
     too_long,  // more than kLongestDuration
 };
@@ -17,11 +18,11 @@
 
 struct ParsedDuration {
     std::chrono::milliseconds value{0};
-    std::optional<DurationFault> fault;  // where set, `value` means nothing
+    std::optional<DurationError> error;  // if set, `value` is meaningless
 };
 
-// "1500ms" or "2.5s". A fraction of a millisecond is rounded up, so that no text above a bound is read as the
-// bound.
+// Parses texts like "1500ms" and "2.5s". Fractions of a millisecond are rounded up, so that a time above a
+// limit is never read as equal to the limit.
 ParsedDuration parse_duration(std::string_view text);
 
 }  // namespace dewweir::settings
--- a/src/settings/endpoint.cpp
+++ b/src/settings/endpoint.cpp
@@ -8,16 +8,16 @@
 constexpr int kOctets = 4;
 constexpr int kOctetBits = 8;
 constexpr unsigned kLargestOctet = 255;
-constexpr std::size_t kOctetDigits = 3;
+constexpr std::size_t kMaxOctetDigits = 3;
 constexpr unsigned kLargestPort = 65535;
 
-// A decimal number that is the whole text, at most `largest`.
+// Parses a text that consists of one decimal number of at most `largest`.
 std::optional<unsigned> parse_decimal(std::string_view text, unsigned largest) {
     unsigned value = 0;
     const char* end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, value);
-    const bool whole = error == std::errc{} && stop == end;
-    if (!whole || value > largest) return std::nullopt;
+    const bool complete = error == std::errc{} && stop == end;
+    if (!complete || value > largest) return std::nullopt;
     return value;
 }
 
@@ -31,7 +31,7 @@
         if (last != (dot == std::string_view::npos)) return std::nullopt;
         const std::string_view digits = text.substr(0, dot);
         const auto value = parse_decimal(digits, kLargestOctet);
-        if (!value || digits.size() > kOctetDigits) return std::nullopt;
+        if (!value || digits.size() > kMaxOctetDigits) return std::nullopt;
         ip = (ip << kOctetBits) | *value;
         if (!last) text.remove_prefix(dot + 1);
     }
--- a/src/settings/fields.h
+++ b/src/settings/fields.h
@@ -1,4 +1,4 @@
-// The table of all keys of a settings file: what each is called, takes and means, and where it is kept.
+// Table of all keys of a settings file: name, unit, range, default, help text and how the value is parsed.
 #pragma once
 
 #include <functional>
@@ -10,10 +10,10 @@
 
 namespace dewweir::settings {
 
-// What a key does where the file lacks it or gives it no value.
+// What happens if the file does not contain a key or gives it no value.
 enum class Presence {
-    required,  // an error
-    optional,  // the default's text is read in its place
+    required,  // the file is rejected
+    optional,  // the default is used
 };
 
 struct Field {
@@ -21,12 +21,13 @@
     std::string_view unit;
     std::string_view range;
     Presence presence = Presence::required;
-    std::string_view default_text;  // of an optional key
+    std::string_view default_text;  // parsed like a value of the file; unused for a required key
     std::string_view help;
-    std::function<ValueFault(std::string_view text, Settings& settings)> read;
+    // Parses `text` and stores the value in `settings`; leaves them unchanged on an error.
+    std::function<ValueError(std::string_view text, Settings& settings)> read;
 };
 
-// In the order of the file. `network.zones`, whose keys are names, is not among them.
+// All keys in the order of the file, except network.zones.NAME, whose keys are not fixed.
 const std::vector<Field>& fields();
 
 }  // namespace dewweir::settings
--- a/src/settings/kinds.cpp
+++ b/src/settings/kinds.cpp
@@ -10,33 +10,33 @@
 namespace dewweir::settings {
 namespace {
 
-template <typename Number> ValueFault read_number(std::string_view text, Number& value) {
+template <typename Number> ValueError read_number(std::string_view text, Number& value) {
     Number number{};
     const char* end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, number);
-    if (error == std::errc::invalid_argument || stop != end) return SettingsFault::malformed;
-    if (error == std::errc::result_out_of_range) return SettingsFault::out_of_range;
+    if (error == std::errc::invalid_argument || stop != end) return SettingsErrorKind::malformed;
+    if (error == std::errc::result_out_of_range) return SettingsErrorKind::out_of_range;
     value = number;
     return std::nullopt;
 }
 
-// Whole numbers may be written like 4 and like 4.0.
-ValueFault read_whole(std::string_view text, std::uint64_t largest, std::uint64_t& value) {
+// An integer may also be written with a zero fraction, like 4.0.
+ValueError read_integer(std::string_view text, std::uint64_t largest, std::uint64_t& value) {
     std::uint64_t whole = 0;
     if (read_number(text, whole)) {
         double fraction = 0.0;
-        if (const ValueFault fault = read_value(text, fraction)) return fault;
-        if (fraction != std::floor(fraction)) return SettingsFault::malformed;
-        constexpr double kExactWhole = 9007199254740992.0;  // 2^53
-        if (fraction > kExactWhole) return SettingsFault::out_of_range;
+        if (const ValueError error = read_value(text, fraction)) return error;
+        if (fraction != std::floor(fraction)) return SettingsErrorKind::malformed;
+        constexpr double kLargestExactInteger = 9007199254740992.0;  // 2^53: above it a double skips integers
+        if (fraction > kLargestExactInteger) return SettingsErrorKind::out_of_range;
         whole = static_cast<std::uint64_t>(fraction);
     }
-    if (whole > largest) return SettingsFault::out_of_range;
+    if (whole > largest) return SettingsErrorKind::out_of_range;
     value = whole;
     return std::nullopt;
 }
 
-// The words of a list joined by commas; empty words are left out.
+// Splits a list at its commas; empty elements are dropped.
 std::vector<std::string_view> split_list(std::string_view text) {
     std::vector<std::string_view> words;
     while (!text.empty()) {
@@ -48,124 +48,124 @@
     return words;
 }
 
-std::optional<Serves> serves_of(std::string_view word) {
-    if (word == "edge") return Serves::edge;
-    if (word == "control") return Serves::control;
-    if (word == "directory") return Serves::directory;
+std::optional<ExternalInterface> interface_named(std::string_view word) {
+    if (word == "edge") return ExternalInterface::edge;
+    if (word == "control") return ExternalInterface::control;
+    if (word == "directory") return ExternalInterface::directory;
     return std::nullopt;
 }
 
 }  // namespace
 
-ValueFault read_value(std::string_view text, std::string& value) {
+ValueError read_value(std::string_view text, std::string& value) {
     value = text;
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, bool& value) {
-    if (text != "true" && text != "false") return SettingsFault::malformed;
+ValueError read_value(std::string_view text, bool& value) {
+    if (text != "true" && text != "false") return SettingsErrorKind::malformed;
     value = text == "true";
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, double& value) {
+ValueError read_value(std::string_view text, double& value) {
     double number = 0.0;
-    if (const ValueFault fault = read_number(text, number)) return fault;
-    if (!std::isfinite(number)) return SettingsFault::malformed;
-    if (number < 0.0) return SettingsFault::out_of_range;
+    if (const ValueError error = read_number(text, number)) return error;
+    if (!std::isfinite(number)) return SettingsErrorKind::malformed;
+    if (number < 0.0) return SettingsErrorKind::out_of_range;
     value = number;
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, std::uint32_t& value) {
+ValueError read_value(std::string_view text, std::uint32_t& value) {
     std::uint64_t whole = 0;
-    const ValueFault fault = read_whole(text, std::numeric_limits<std::uint32_t>::max(), whole);
-    if (!fault) value = static_cast<std::uint32_t>(whole);
-    return fault;
+    const ValueError error = read_integer(text, std::numeric_limits<std::uint32_t>::max(), whole);
+    if (!error) value = static_cast<std::uint32_t>(whole);
+    return error;
 }
 
-ValueFault read_value(std::string_view text, std::uint64_t& value) {
-    return read_whole(text, std::numeric_limits<std::uint64_t>::max(), value);
+ValueError read_value(std::string_view text, std::uint64_t& value) {
+    return read_integer(text, std::numeric_limits<std::uint64_t>::max(), value);
 }
 
-ValueFault read_value(std::string_view text, std::chrono::milliseconds& value) {
+ValueError read_value(std::string_view text, std::chrono::milliseconds& value) {
     const ParsedDuration parsed = parse_duration(text);
-    if (parsed.fault == DurationFault::malformed) return SettingsFault::malformed;
-    if (parsed.fault) return SettingsFault::out_of_range;
+    if (parsed.error == DurationError::malformed) return SettingsErrorKind::malformed;
+    if (parsed.error) return SettingsErrorKind::out_of_range;
     value = parsed.value;
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, Endpoint& value) {
+ValueError read_value(std::string_view text, Endpoint& value) {
     const auto endpoint = parse_endpoint(text);
-    if (!endpoint) return SettingsFault::malformed;
+    if (!endpoint) return SettingsErrorKind::malformed;
     value = *endpoint;
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, std::optional<Endpoint>& value) {
+ValueError read_value(std::string_view text, std::optional<Endpoint>& value) {
     if (text.empty()) {
         value.reset();
         return std::nullopt;
     }
     Endpoint endpoint;
-    const ValueFault fault = read_value(text, endpoint);
-    if (!fault) value = endpoint;
-    return fault;
+    const ValueError error = read_value(text, endpoint);
+    if (!error) value = endpoint;
+    return error;
 }
 
-ValueFault read_value(std::string_view text, std::optional<std::string>& value) {
+ValueError read_value(std::string_view text, std::optional<std::string>& value) {
     value.reset();
     if (!text.empty()) value = std::string(text);
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, std::vector<std::string>& value) {
+ValueError read_value(std::string_view text, std::vector<std::string>& value) {
     const auto words = split_list(text);
     value.assign(words.begin(), words.end());
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, std::vector<Endpoint>& value) {
+ValueError read_value(std::string_view text, std::vector<Endpoint>& value) {
     std::vector<Endpoint> endpoints;
     for (const std::string_view word : split_list(text)) {
         Endpoint endpoint;
-        if (const ValueFault fault = read_value(word, endpoint)) return fault;
+        if (const ValueError error = read_value(word, endpoint)) return error;
         endpoints.push_back(endpoint);
     }
     value = std::move(endpoints);
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, std::set<std::string>& value) {
+ValueError read_value(std::string_view text, std::set<std::string>& value) {
     const auto words = split_list(text);
     value = std::set<std::string>(words.begin(), words.end());
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, std::set<Serves>& value) {
+ValueError read_value(std::string_view text, std::set<ExternalInterface>& value) {
     value.clear();
     for (const std::string_view word : split_list(text)) {
-        if (const auto serves = serves_of(word)) value.insert(*serves);
+        if (const auto interface = interface_named(word)) value.insert(*interface);
     }
     return std::nullopt;
 }
 
-ValueFault read_value(std::string_view text, PortRange& value) {
+ValueError read_value(std::string_view text, PortRange& value) {
     constexpr std::size_t kEnds = 2;
     const auto words = split_list(text);
-    if (words.size() != kEnds) return SettingsFault::malformed;
+    if (words.size() != kEnds) return SettingsErrorKind::malformed;
     PortRange range;
-    if (const ValueFault fault = read_number(words.front(), range.first)) return fault;
-    if (const ValueFault fault = read_number(words.back(), range.last)) return fault;
-    if (range.first == 0 || range.first > range.last) return SettingsFault::out_of_range;
+    if (const ValueError error = read_number(words.front(), range.first)) return error;
+    if (const ValueError error = read_number(words.back(), range.last)) return error;
+    if (range.first == 0 || range.first > range.last) return SettingsErrorKind::out_of_range;
     value = range;
     return std::nullopt;
 }
 
-ValueFault read_ip(std::string_view text, std::uint32_t& value) {
+ValueError read_ip(std::string_view text, std::uint32_t& value) {
     const auto ip = parse_ip(text);
-    if (!ip) return SettingsFault::malformed;
+    if (!ip) return SettingsErrorKind::malformed;
     value = *ip;
     return std::nullopt;
 }
--- a/src/settings/kinds.h
+++ b/src/settings/kinds.h
@@ -1,4 +1,4 @@
-// The kinds of values that a settings file holds: how each is read from its text.
+// Parses the values of a settings file into their types.
 #pragma once
 
 #include <chrono>
@@ -13,26 +13,27 @@
 
 namespace dewweir::settings {
 
-// What is wrong with a value, the key left to the caller; nothing where it was read.
-using ValueFault = std::optional<SettingsFault>;
+// Error of a value; absent if it was parsed. The caller knows the key.
+using ValueError = std::optional<SettingsErrorKind>;
 
-// Each reads `text` into `value` and leaves `value` as it was on a fault. Numbers are 0 or more.
-ValueFault read_value(std::string_view text, std::string& value);
-ValueFault read_value(std::string_view text, bool& value);
-ValueFault read_value(std::string_view text, double& value);
-ValueFault read_value(std::string_view text, std::uint32_t& value);
-ValueFault read_value(std::string_view text, std::uint64_t& value);
-ValueFault read_value(std::string_view text, std::chrono::milliseconds& value);
-ValueFault read_value(std::string_view text, Endpoint& value);
-ValueFault read_value(std::string_view text, std::optional<Endpoint>& value);
-ValueFault read_value(std::string_view text, std::optional<std::string>& value);
-ValueFault read_value(std::string_view text, std::vector<std::string>& value);
-ValueFault read_value(std::string_view text, std::vector<Endpoint>& value);
-ValueFault read_value(std::string_view text, std::set<std::string>& value);
-ValueFault read_value(std::string_view text, std::set<Serves>& value);
-ValueFault read_value(std::string_view text, PortRange& value);
+// Each overload parses `text` into `value` and leaves `value` unchanged on an error. Numbers must be at least
+// 0; lists are separated by commas.
+ValueError read_value(std::string_view text, std::string& value);
+ValueError read_value(std::string_view text, bool& value);
+ValueError read_value(std::string_view text, double& value);
+ValueError read_value(std::string_view text, std::uint32_t& value);
+ValueError read_value(std::string_view text, std::uint64_t& value);
+ValueError read_value(std::string_view text, std::chrono::milliseconds& value);
+ValueError read_value(std::string_view text, Endpoint& value);
+ValueError read_value(std::string_view text, std::optional<Endpoint>& value);
+ValueError read_value(std::string_view text, std::optional<std::string>& value);
+ValueError read_value(std::string_view text, std::vector<std::string>& value);
+ValueError read_value(std::string_view text, std::vector<Endpoint>& value);
+ValueError read_value(std::string_view text, std::set<std::string>& value);
+ValueError read_value(std::string_view text, std::set<ExternalInterface>& value);
+ValueError read_value(std::string_view text, PortRange& value);
 
-// An address alone, which is a number like others to the overloads above.
-ValueFault read_ip(std::string_view text, std::uint32_t& value);
+// Parses an IPv4 address without a port. Not an overload: its type is that of other numbers.
+ValueError read_ip(std::string_view text, std::uint32_t& value);
 
 }  // namespace dewweir::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -11,14 +11,14 @@
 namespace dewweir::settings {
 namespace {
 
-// a.b is /a/b; no key of the table holds '/' or '~'.
+// The key a.b becomes the pointer /a/b. Needs no escaping: no key of the table has '/' or '~'.
 rapidjson::Pointer pointer_to(std::string_view key) {
     std::string path = '/' + std::string(key);
     std::replace(path.begin(), path.end(), '.', '/');
     return rapidjson::Pointer(path.data(), path.size());
 }
 
-// The text at the key, empty where there is none.
+// Value of the key; empty if absent.
 std::string_view text_at(const rapidjson::Document& document, std::string_view key) {
     const rapidjson::Value* value = pointer_to(key).Get(document);
     if (value == nullptr || !value->IsString()) return {};
@@ -33,12 +33,12 @@
                                         Settings& settings) {
     std::string_view text = text_at(document, field.key);
     if (text.empty() && field.presence == Presence::required) {
-        return SettingsError{std::string(field.key), SettingsFault::missing, advice_for(field)};
+        return SettingsError{std::string(field.key), SettingsErrorKind::missing, advice_for(field)};
     }
     if (text.empty()) text = field.default_text;
-    const ValueFault fault = field.read(text, settings);
-    if (!fault) return std::nullopt;
-    return SettingsError{std::string(field.key), *fault, advice_for(field)};
+    const ValueError error = field.read(text, settings);
+    if (!error) return std::nullopt;
+    return SettingsError{std::string(field.key), *error, advice_for(field)};
 }
 
 std::map<ZoneName, RegionName> read_zones(const rapidjson::Document& document) {
@@ -52,13 +52,15 @@
     return zones;
 }
 
-// One row of a table in Markdown.
+// One row of the Markdown table.
 std::string row(const Field& field) {
     const bool required = field.presence == Presence::required;
-    const std::string by_default = required ? "required" : '`' + std::string(field.default_text) + '`';
-    const std::string shown = !required && field.default_text.empty() ? "none" : by_default;
+    const std::string default_or_required =
+        required ? "required" : '`' + std::string(field.default_text) + '`';
+    const std::string default_column = !required && field.default_text.empty() ? "none" : default_or_required;
     std::string text = "| `" + std::string(field.key) + "` | " + std::string(field.unit);
-    text += " | " + std::string(field.range) + " | " + shown + " | " + std::string(field.help) + " |\n";
+    text +=
+        " | " + std::string(field.range) + " | " + default_column + " | " + std::string(field.help) + " |\n";
     return text;
 }
 
--- a/tests/configuration/example.h
+++ b/tests/configuration/example.h
@@ -1,4 +1,4 @@
-// A configuration like those that operators send, and ways to change it.
+// A realistic configuration, and functions that return variants of it.
 #pragma once
 
 #include <rapidjson/document.h>
--- a/tests/configuration/lookup_test.cpp
+++ b/tests/configuration/lookup_test.cpp
@@ -1,4 +1,4 @@
-// Versions as texts, and finding routes and tenants.
+// Text forms of versions, and lookup of routes and tenants.
 #include <catch2/catch.hpp>
 #include <memory>
 #include <string>
@@ -19,7 +19,7 @@
     CHECK_FALSE(parse_version(text));
 }
 
-TEST_CASE("If-Match holds a version or 0, in quotes or bare") {
+TEST_CASE("If-Match holds a version or 0, with or without quotes") {
     CHECK(parse_if_match("0") == Version{});
     CHECK(parse_if_match("00000005") == Version{5});
     CHECK(parse_if_match("\"00000005\"") == Version{5});
@@ -52,40 +52,40 @@
     return RouteTable(std::move(configuration));
 }
 
-std::string found(std::string_view host, std::string_view path) {
+std::string route_name(std::string_view host, std::string_view path) {
     static const RouteTable table = example_table();
     const Route* route = table.find(host, path);
     return route == nullptr ? "none" : route->name;
 }
 
-TEST_CASE("the longest prefix that begins the path wins") {
-    CHECK(found("a.example", "/") == "root");
-    CHECK(found("a.example", "/one") == "root");
-    CHECK(found("a.example", "/one/") == "one");
-    CHECK(found("a.example", "/one/two/x") == "one");
-    CHECK(found("a.example", "/one/two/three/4/5") == "deep");
-    CHECK(found("a.example", "/ONE/x") == "root");
-    CHECK(found("b.example", "/one/x") == "other");
-    CHECK(found("b.example", "/two/") == "none");
-    CHECK(found("b.example", "/") == "none");
-    CHECK(found("b.example", "") == "none");
+TEST_CASE("the longest matching path prefix is chosen") {
+    CHECK(route_name("a.example", "/") == "root");
+    CHECK(route_name("a.example", "/one") == "root");
+    CHECK(route_name("a.example", "/one/") == "one");
+    CHECK(route_name("a.example", "/one/two/x") == "one");
+    CHECK(route_name("a.example", "/one/two/three/4/5") == "deep");
+    CHECK(route_name("a.example", "/ONE/x") == "root");
+    CHECK(route_name("b.example", "/one/x") == "other");
+    CHECK(route_name("b.example", "/two/") == "none");
+    CHECK(route_name("b.example", "/") == "none");
+    CHECK(route_name("b.example", "") == "none");
 }
 
-TEST_CASE("a query takes no part in the choice") {
-    CHECK(found("a.example", "/one?x=/") == "root");
-    CHECK(found("a.example", "/one/?/two/three/") == "one");
+TEST_CASE("a query does not affect the choice of the route") {
+    CHECK(route_name("a.example", "/one?x=/") == "root");
+    CHECK(route_name("a.example", "/one/?/two/three/") == "one");
 }
 
-TEST_CASE("the host is matched whole, in any case, without its port") {
-    CHECK(found("A.Example", "/") == "root");
-    CHECK(found("a.example:8080", "/one/x") == "one");
-    CHECK(found("aa.example", "/") == "none");
-    CHECK(found("a.exampl", "/") == "none");
-    CHECK(found("", "/") == "none");
+TEST_CASE("the whole host is compared case-insensitively, without its port") {
+    CHECK(route_name("A.Example", "/") == "root");
+    CHECK(route_name("a.example:8080", "/one/x") == "one");
+    CHECK(route_name("aa.example", "/") == "none");
+    CHECK(route_name("a.exampl", "/") == "none");
+    CHECK(route_name("", "/") == "none");
     CHECK(without_port("[::1]:80") == "[::1]");
 }
 
-TEST_CASE("a host's homes are those that all its routes with homes have in common") {
+TEST_CASE("the home regions of a host are the intersection over its routes that have any") {
     Configuration configuration;
     const auto add = [&](const std::string& host, const std::string& prefix, std::vector<RegionName> homes) {
         Route& route = configuration.routes.emplace_back();
@@ -100,17 +100,17 @@
     add("c.example", "/", {"east"});
     add("c.example", "/one/", {"west"});
     const RouteTable table(std::make_shared<const Configuration>(configuration));
-    CHECK(table.homes("a.example:80") == HomeRegions(std::vector<RegionName>{"east", "west"}));
-    CHECK(table.homes("b.example") == HomeRegions());
-    CHECK(table.homes("unknown.example") == HomeRegions());
-    CHECK(table.homes("c.example") == HomeRegions(std::vector<RegionName>()));
-    CHECK(allows(table.homes("a.example"), "west"));
-    CHECK_FALSE(allows(table.homes("a.example"), "south"));
-    CHECK_FALSE(allows(table.homes("c.example"), "east"));
-    CHECK(allows(table.homes("b.example"), "anywhere"));
+    CHECK(table.home_regions("a.example:80") == HomeRegions(std::vector<RegionName>{"east", "west"}));
+    CHECK(table.home_regions("b.example") == HomeRegions());
+    CHECK(table.home_regions("unknown.example") == HomeRegions());
+    CHECK(table.home_regions("c.example") == HomeRegions(std::vector<RegionName>()));
+    CHECK(allows(table.home_regions("a.example"), "west"));
+    CHECK_FALSE(allows(table.home_regions("a.example"), "south"));
+    CHECK_FALSE(allows(table.home_regions("c.example"), "east"));
+    CHECK(allows(table.home_regions("b.example"), "anywhere"));
 }
 
-TEST_CASE("a tenant is found by each of its keys") {
+TEST_CASE("a tenant is found by each of its API keys") {
     const RouteTable table = example_table();
     REQUIRE(table.find_tenant("key-2") != nullptr);
     CHECK(table.find_tenant("key-1")->name == "first");
@@ -120,7 +120,7 @@
     CHECK(table.find_tenant("") == nullptr);
 }
 
-TEST_CASE("a tenant's priority takes the place of the route's") {
+TEST_CASE("a tenant's priority overrides the route's") {
     const RouteTable table = example_table();
     Route low = table.configuration().routes.front();
     low.priority = 3;
--- a/tests/configuration/parser_test.cpp
+++ b/tests/configuration/parser_test.cpp
@@ -1,4 +1,4 @@
-// Reading configurations: what a valid one becomes, and every reason for which one is refused.
+// Parsing of configurations: the values of a valid one, and every reason for rejecting one.
 #include "configuration/parser.h"
 
 #include <catch2/catch.hpp>
@@ -10,22 +10,22 @@
 
 using std::chrono::milliseconds;
 
-Configuration taken(const std::string& json) {
+Configuration accepted(const std::string& json) {
     const ParseResult result = parse_configuration(json);
     const auto* rejection = std::get_if<Rejection>(&result);
-    INFO((rejection == nullptr ? "taken" : rejection->path + ": " + rejection->advice));
+    INFO((rejection == nullptr ? "accepted" : rejection->path + ": " + rejection->advice));
     REQUIRE(rejection == nullptr);
     return std::get<Configuration>(result);
 }
 
-Rejection refused(const std::string& json) {
+Rejection rejected(const std::string& json) {
     const ParseResult result = parse_configuration(json);
     REQUIRE(std::holds_alternative<Rejection>(result));
     return std::get<Rejection>(result);
 }
 
-TEST_CASE("the example's routes are read") {
-    const Configuration configuration = taken(kExample);
+TEST_CASE("the routes of the example are parsed") {
+    const Configuration configuration = accepted(kExample);
     CHECK(configuration.epoch == Version{7});
     REQUIRE(configuration.routes.size() == 2);
     const Route& split = configuration.routes[0];
@@ -53,8 +53,8 @@
     CHECK(single.backends[0].weight == 1.0);
 }
 
-TEST_CASE("the example's services, limits and tenants are read") {
-    const Configuration configuration = taken(kExample);
+TEST_CASE("the services, limits and tenants of the example are parsed") {
+    const Configuration configuration = accepted(kExample);
     REQUIRE(configuration.services.size() == 3);
     const Service& service = configuration.services[1];
     CHECK(service.name == "wuno96b");
@@ -83,12 +83,13 @@
     CHECK(bare.burst == 0.0);
 }
 
+// A change of the example that keeps it valid.
 struct Change {
     std::string pointer;
     std::string json;
 };
 
-TEST_CASE("what the pages allow is taken") {
+TEST_CASE("unusual but valid values are accepted") {
     const auto change = GENERATE(values<Change>({
         {"/tenants", "[]"},
         {"/tenants/0/rate_per_s", "0"},
@@ -115,32 +116,33 @@
         {"/novel", "[{}]"},
     }));
     INFO(change.pointer << " = " << change.json);
-    taken(changed(change.pointer, change.json));
+    accepted(changed(change.pointer, change.json));
 }
 
-TEST_CASE("what may be left out takes its default") {
-    CHECK(taken(without("/limits")).limits.max_header_bytes == 16384);
-    CHECK_FALSE(taken(without("/tenants")).has_tenants);
-    CHECK_FALSE(taken(changed("/tenants", "null")).has_tenants);
-    CHECK(taken(changed("/tenants", "[]")).has_tenants);
-    CHECK(taken(without("/routes/0/max_tries")).routes[0].max_tries == 1);
-    CHECK(taken(changed("/routes/0/max_tries", "0")).routes[0].max_tries == 1);
-    CHECK(taken(without("/routes/0/priority")).routes[0].priority == 0);
-    CHECK_FALSE(taken(without("/routes/0/anonymous")).routes[0].anonymous);
-    CHECK(taken(without("/routes/1/home_regions")).routes[1].home_regions.empty());
-    CHECK_FALSE(taken(without("/services/0/cold_per_s")).services[0].cold_per_s);
-    CHECK(taken(without("/services/0/warmup")).services[0].warmup == milliseconds{0});
+TEST_CASE("absent optional fields take their defaults") {
+    CHECK(accepted(without("/limits")).limits.max_header_bytes == 16384);
+    CHECK_FALSE(accepted(without("/tenants")).has_tenants);
+    CHECK_FALSE(accepted(changed("/tenants", "null")).has_tenants);
+    CHECK(accepted(changed("/tenants", "[]")).has_tenants);
+    CHECK(accepted(without("/routes/0/max_tries")).routes[0].max_tries == 1);
+    CHECK(accepted(changed("/routes/0/max_tries", "0")).routes[0].max_tries == 1);
+    CHECK(accepted(without("/routes/0/priority")).routes[0].priority == 0);
+    CHECK_FALSE(accepted(without("/routes/0/anonymous")).routes[0].anonymous);
+    CHECK(accepted(without("/routes/1/home_regions")).routes[1].home_regions.empty());
+    CHECK_FALSE(accepted(without("/services/0/cold_per_s")).services[0].cold_per_s);
+    CHECK(accepted(without("/services/0/warmup")).services[0].warmup == milliseconds{0});
 }
 
-struct Refusal {
+// A change that makes the example invalid, and the expected rejection.
+struct InvalidChange {
     std::string pointer;
     std::string json;
     Reason reason;
-    std::string path;  // where it differs from the pointer
+    std::string path;  // path of the rejection; empty if it is the pointer
 };
 
-TEST_CASE("every reason has its refusal, with the place") {
-    const auto bad = GENERATE(values<Refusal>({
+TEST_CASE("an invalid value is rejected with the reason and its path") {
+    const auto bad = GENERATE(values<InvalidChange>({
         {"/epoch", R"("7")", Reason::malformed_epoch, ""},
         {"/epoch", R"("0000000g")", Reason::malformed_epoch, ""},
         {"/epoch", R"("-0000001")", Reason::malformed_epoch, ""},
@@ -181,15 +183,15 @@
         {"/limits/max_body_bytes", "-1", Reason::negative_number, ""},
     }));
     INFO(bad.pointer << " = " << bad.json);
-    const Rejection rejection = refused(changed(bad.pointer, bad.json));
+    const Rejection rejection = rejected(changed(bad.pointer, bad.json));
     CHECK(to_string(rejection.reason) == to_string(bad.reason));
     CHECK(rejection.path == (bad.path.empty() ? bad.pointer : bad.path));
     CHECK_FALSE(rejection.advice.empty());
     CHECK(rejection.advice.find("qasnmgkcuyj8pjbvk9m6") == std::string::npos);
 }
 
-TEST_CASE("what could never be served is refused to operators, and read where it is in force") {
-    const auto bad = GENERATE(values<Refusal>({
+TEST_CASE("a part that can never be served is rejected in a proposal, accepted in the version in force") {
+    const auto bad = GENERATE(values<InvalidChange>({
         {"/routes/0/deadline", R"("0ms")", Reason::deadline_too_short, ""},
         {"/routes/1/deadline", R"("0s")", Reason::deadline_too_short, ""},
         {"/routes/1/deadline", R"("0.0s")", Reason::deadline_too_short, ""},
@@ -207,10 +209,10 @@
     CHECK(to_string(rejection->reason) == to_string(bad.reason));
     CHECK(rejection->path == bad.pointer);
     CHECK_FALSE(rejection->advice.empty());
-    taken(text);
+    accepted(text);
 }
 
-TEST_CASE("the least that can be served is taken, and a proposal is checked like any configuration") {
+TEST_CASE("a proposal with the least servable values is accepted; other checks apply to proposals too") {
     const auto good = GENERATE(values<Change>({
         {"/routes/0/deadline", R"("1ms")"},
         {"/routes/0/target_latency", R"("0ms")"},
@@ -225,50 +227,50 @@
     CHECK(std::holds_alternative<Rejection>(parse_proposal(changed("/routes/1/backend", R"("nobody")"))));
 }
 
-TEST_CASE("required fields are missed by name") {
+TEST_CASE("a missing required field is reported with its path") {
     const auto pointer = GENERATE(
         as<std::string>{}, "/epoch", "/routes", "/services", "/routes/0/name", "/routes/0/hostname",
         "/routes/0/path_prefix", "/routes/0/route_class", "/routes/0/deadline", "/routes/0/target_latency",
         "/routes/1/backend", "/routes/0/weighted_backends/0/backend", "/routes/0/weighted_backends/0/weight",
         "/services/0/name", "/services/0/health_path", "/services/0/max_conns", "/tenants/0/name");
-    const Rejection rejection = refused(without(pointer));
+    const Rejection rejection = rejected(without(pointer));
     CHECK(rejection.reason == Reason::missing_field);
     CHECK(rejection.path == pointer);
 }
 
-TEST_CASE("two routes of one host and prefix are refused, whatever the case of the host") {
+TEST_CASE("two routes with the same prefix and host, in whatever case, are rejected") {
     rapidjson::Document document;
     document.Parse(changed("/routes/1/hostname", R"("JEPU9.example")").c_str());
     rapidjson::Pointer("/routes/1/path_prefix").Set(document, "/lepu270/");
-    const Rejection rejection = refused(write(document));
+    const Rejection rejection = rejected(write(document));
     CHECK(rejection.reason == Reason::duplicate_route_match);
     CHECK(rejection.path == "/routes/1/path_prefix");
 }
 
-TEST_CASE("a text cut short anywhere is no configuration") {
+TEST_CASE("a truncated text is rejected, wherever it ends") {
     for (std::size_t length = 0; length < kExample.size(); ++length) {
-        REQUIRE(refused(kExample.substr(0, length)).reason == Reason::not_json);
+        REQUIRE(rejected(kExample.substr(0, length)).reason == Reason::not_json);
     }
 }
 
-TEST_CASE("other texts are no JSON either") {
+TEST_CASE("other texts that are not JSON are rejected") {
     CHECK(std::holds_alternative<Rejection>(parse_configuration({})));
-    CHECK(refused(kExample + "x").reason == Reason::not_json);
-    CHECK(refused(kExample + std::string("\0x", 2)).reason == Reason::not_json);
-    CHECK(refused("\xff\xfe").reason == Reason::not_json);
-    CHECK(refused(std::string(1'000'000, '[')).reason == Reason::not_json);
-    CHECK(refused(R"({"epoch":NaN})").reason == Reason::not_json);
-    CHECK(refused("[]").reason == Reason::wrong_type);
-    CHECK(refused("null").reason == Reason::wrong_type);
+    CHECK(rejected(kExample + "x").reason == Reason::not_json);
+    CHECK(rejected(kExample + std::string("\0x", 2)).reason == Reason::not_json);
+    CHECK(rejected("\xff\xfe").reason == Reason::not_json);
+    CHECK(rejected(std::string(1'000'000, '[')).reason == Reason::not_json);
+    CHECK(rejected(R"({"epoch":NaN})").reason == Reason::not_json);
+    CHECK(rejected("[]").reason == Reason::wrong_type);
+    CHECK(rejected("null").reason == Reason::wrong_type);
 }
 
-TEST_CASE("an epoch has to be greater than the one in force") {
-    const Configuration next = taken(kExample);
+TEST_CASE("an epoch must be greater than the one in force") {
+    const Configuration next = accepted(kExample);
     CHECK_FALSE(check_follows(next, std::nullopt));
     CHECK_FALSE(check_follows(next, Version{6}));
     CHECK(check_follows(next, Version{7})->reason == Reason::epoch_not_greater);
     CHECK(check_follows(next, Version{8})->reason == Reason::epoch_not_greater);
-    const Configuration zero = taken(changed("/epoch", R"("00000000")"));
+    const Configuration zero = accepted(changed("/epoch", R"("00000000")"));
     CHECK(check_follows(zero, std::nullopt)->reason == Reason::epoch_not_greater);
 }
 
--- a/tests/settings/example.h
+++ b/tests/settings/example.h
@@ -1,4 +1,4 @@
-// The settings of an example of a machine, as a process finds them.
+// The settings file of a control plane's machine.
 #pragma once
 
 #include <string>
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -1,4 +1,4 @@
-// Reading a settings file: every value of the example arrives, defaults stand in, and errors name their key.
+// Parsing of settings files: all values of the example, defaults, and errors that name their key.
 #include "settings/settings.h"
 
 #include <catch2/catch.hpp>
@@ -11,10 +11,10 @@
 
 using std::chrono::milliseconds;
 
-Settings read_whole(const std::string& text) {
+Settings parsed(const std::string& text) {
     const SettingsResult result = read_settings(text);
     const auto* error = std::get_if<SettingsError>(&result);
-    INFO((error == nullptr ? "read" : error->key + ": " + error->advice));
+    INFO((error == nullptr ? "parsed" : error->key + ": " + error->advice));
     REQUIRE(error == nullptr);
     return std::get<Settings>(result);
 }
@@ -32,13 +32,14 @@
 
 Endpoint endpoint(std::string_view text) { return parse_endpoint(text).value(); }
 
-TEST_CASE("the example's self and network are read") {
-    const Settings settings = read_whole(kCoreMachine);
+TEST_CASE("the keys self and network of the example are parsed") {
+    const Settings settings = parsed(kCoreMachine);
     const Self& self = settings.self;
     CHECK(self.node == "core-zg-dubrava-1");
     CHECK(self.role == "my-core");
     CHECK(self.machine_class == "core");
-    CHECK(self.serves == std::set<Serves>{Serves::control, Serves::directory});
+    CHECK(self.serves ==
+          std::set<ExternalInterface>{ExternalInterface::control, ExternalInterface::directory});
     CHECK(self.ip == 0x0a010018);
     CHECK(self.zone == "zg-dubrava");
     CHECK(self.region == "zagreb");
@@ -64,8 +65,8 @@
           std::map<ZoneName, RegionName>{{"zg-dubrava", "zagreb"}, {"st-kopilica", "split"}});
 }
 
-TEST_CASE("the example's substrate and invariants are read") {
-    const Settings settings = read_whole(kCoreMachine);
+TEST_CASE("the keys substrate and invariants of the example are parsed") {
+    const Settings settings = parsed(kCoreMachine);
     const Substrate& substrate = settings.substrate;
     CHECK(substrate.discovery == "cloud");
     CHECK(substrate.ingress == "directory");
@@ -106,33 +107,34 @@
     CHECK(bounds.ttl_max == milliseconds{5300});
 }
 
-TEST_CASE("lines: later ones count, unknown and blank ones don't, ends of lines of either kind") {
+TEST_CASE(
+    "the last of several lines counts, unknown and blank lines are ignored, LF and CRLF both end lines") {
     const std::string more =
         "\nself.zone=later\r\nself.novel.thing=1\nself.node.novel=1\nself.serves=edge,novel\n"
         "# a "
         "remark\nnetwork.zones.7=seven\nnetwork.zones.a.b=dotted\nself.node=last\nself.node.novel=2\nnetwork."
         "bind=novel\nnetwork=novel";
-    const Settings settings = read_whole(kCoreMachine + more);
+    const Settings settings = parsed(kCoreMachine + more);
     CHECK(settings.self.zone == "later");
     CHECK(settings.self.node == "last");
-    CHECK(settings.self.serves == std::set<Serves>{Serves::edge});
+    CHECK(settings.self.serves == std::set<ExternalInterface>{ExternalInterface::edge});
     CHECK(settings.network.bind.control);
     CHECK(settings.network.zones.at("7") == "seven");
     CHECK(settings.network.zones.at("a.b") == "dotted");
 }
 
-TEST_CASE("required keys are missed by name") {
+TEST_CASE("a missing required key is reported by name") {
     const auto key = GENERATE("self.node", "self.role", "self.ip", "self.zone", "self.region",
                               "network.ephemeral_ports", "substrate.cloud_api.address");
     const SettingsError error = read_error(without(kCoreMachine, key));
     CHECK(error.key == key);
-    CHECK(error.kind == SettingsFault::missing);
+    CHECK(error.kind == SettingsErrorKind::missing);
     CHECK_FALSE(error.advice.empty());
-    CHECK(read_error(kCoreMachine + key + "=").kind == SettingsFault::missing);
+    CHECK(read_error(kCoreMachine + key + "=").kind == SettingsErrorKind::missing);
 }
 
-TEST_CASE("a file of the required keys alone takes the defaults") {
-    const Settings settings = read_whole(
+TEST_CASE("a file with only the required keys takes the defaults") {
+    const Settings settings = parsed(
         "self.node=n\nself.role=r\nself.ip=10.0.0.1\nself.zone=z\nself.region=g\n"
         "network.ephemeral_ports=7460,7475\nsubstrate.cloud_api.address=10.0.0.2:80\n");
     CHECK(settings.self.serves.empty());
@@ -148,38 +150,38 @@
 struct BadLine {
     std::string key;
     std::string value;
-    SettingsFault kind;
+    SettingsErrorKind kind;  // expected
 };
 
-TEST_CASE("values of the wrong kind or size are refused by name") {
+TEST_CASE("values of the wrong type or out of range are reported by key") {
     const auto bad = GENERATE(values<BadLine>({
-        {"self.ip", "10.1.0.256", SettingsFault::malformed},
-        {"self.counted", "yes", SettingsFault::malformed},
-        {"self.limits.max_fds", "many", SettingsFault::malformed},
-        {"self.limits.max_fds", "4.5", SettingsFault::malformed},
-        {"self.limits.max_fds", "-4", SettingsFault::out_of_range},
-        {"self.limits.cpu_share", "nan", SettingsFault::malformed},
-        {"network.bind.front", "10.1.0.24", SettingsFault::malformed},
-        {"network.seed_nodes", "10.1.0.24:8383,core:8383", SettingsFault::malformed},
-        {"network.ephemeral_ports", "7460", SettingsFault::malformed},
-        {"network.ephemeral_ports", "7475,7460", SettingsFault::out_of_range},
-        {"network.ephemeral_ports", "7460,70000", SettingsFault::out_of_range},
-        {"invariants.bounds.ack", "6", SettingsFault::malformed},
-        {"invariants.bounds.ack", "-6s", SettingsFault::out_of_range},
-        {"invariants.bounds.retry_ratio", "-0.1", SettingsFault::out_of_range},
-        {"invariants.fault_budget.zones", "4294967296", SettingsFault::out_of_range},
+        {"self.ip", "10.1.0.256", SettingsErrorKind::malformed},
+        {"self.counted", "yes", SettingsErrorKind::malformed},
+        {"self.limits.max_fds", "many", SettingsErrorKind::malformed},
+        {"self.limits.max_fds", "4.5", SettingsErrorKind::malformed},
+        {"self.limits.max_fds", "-4", SettingsErrorKind::out_of_range},
+        {"self.limits.cpu_share", "nan", SettingsErrorKind::malformed},
+        {"network.bind.front", "10.1.0.24", SettingsErrorKind::malformed},
+        {"network.seed_nodes", "10.1.0.24:8383,core:8383", SettingsErrorKind::malformed},
+        {"network.ephemeral_ports", "7460", SettingsErrorKind::malformed},
+        {"network.ephemeral_ports", "7475,7460", SettingsErrorKind::out_of_range},
+        {"network.ephemeral_ports", "7460,70000", SettingsErrorKind::out_of_range},
+        {"invariants.bounds.ack", "6", SettingsErrorKind::malformed},
+        {"invariants.bounds.ack", "-6s", SettingsErrorKind::out_of_range},
+        {"invariants.bounds.retry_ratio", "-0.1", SettingsErrorKind::out_of_range},
+        {"invariants.fault_budget.zones", "4294967296", SettingsErrorKind::out_of_range},
     }));
     const SettingsError error = read_error(kCoreMachine + bad.key + '=' + bad.value);
     CHECK(error.key == bad.key);
     CHECK(error.kind == bad.kind);
 }
 
-TEST_CASE("a line without a key is refused") {
+TEST_CASE("a line without a key is rejected") {
     CHECK(read_error(kCoreMachine + "self.no").key == "self.no");
-    CHECK(read_error(kCoreMachine + "=value").kind == SettingsFault::malformed);
+    CHECK(read_error(kCoreMachine + "=value").kind == SettingsErrorKind::malformed);
 }
 
-TEST_CASE("every key of the example stands in the description") {
+TEST_CASE("the description lists every key of the example") {
     const std::string table = describe_settings();
     CHECK(table.find("| `self.node` | text | any | required | name of the machine |") != std::string::npos);
     std::istringstream lines(
