--- a/src/program/answers.cpp
+++ b/src/program/answers.cpp
@@ -7,45 +7,45 @@
 namespace dewweir::program {
 namespace {
 
-// Reads fields of one object; `whole` turns false at the first that is missing or of another type.
-class Fields {
+// Reads the fields of one JSON object. complete() is false once a field was missing or had the wrong type.
+class ObjectReader {
   public:
-    explicit Fields(const rapidjson::Value& value) : value_(value), whole_(value.IsObject()) {}
+    explicit ObjectReader(const rapidjson::Value& value) : value_(value), complete_(value.IsObject()) {}
 
-    bool whole() const { return whole_; }
+    bool complete() const { return complete_; }
 
     std::string text(const char* name) {
         const rapidjson::Value* const found = find(name);
         if (found && found->IsString()) return {found->GetString(), found->GetStringLength()};
-        whole_ = false;
+        complete_ = false;
         return {};
     }
 
     std::uint64_t number(const char* name) {
         const rapidjson::Value* const found = find(name);
         if (found && found->IsUint64()) return found->GetUint64();
-        whole_ = false;
+        complete_ = false;
         return 0;
     }
 
     bool flag(const char* name) {
         const rapidjson::Value* const found = find(name);
         if (found && found->IsBool()) return found->GetBool();
-        whole_ = false;
+        complete_ = false;
         return false;
     }
 
-    // `read` makes an element out of a value, or nothing.
+    // Reads a list whose elements `read` converts; it returns nothing for an element it cannot convert.
     template <class Element, class Read> std::vector<Element> list(const char* name, const Read& read) {
         std::vector<Element> elements;
         const rapidjson::Value* const found = find(name);
         if (!found || !found->IsArray()) {
-            whole_ = false;
+            complete_ = false;
             return elements;
         }
         for (const rapidjson::Value& value : found->GetArray()) {
             std::optional<Element> element = read(value);
-            whole_ = whole_ && element.has_value();
+            complete_ = complete_ && element.has_value();
             if (element) elements.push_back(std::move(*element));
         }
         return elements;
@@ -59,7 +59,7 @@
 
   private:
     const rapidjson::Value& value_;
-    bool whole_;
+    bool complete_;
 };
 
 std::optional<std::string> read_text(const rapidjson::Value& value) {
@@ -68,54 +68,54 @@
 }
 
 std::optional<MemberStatus> read_member(const rapidjson::Value& value) {
-    Fields fields(value);
+    ObjectReader reader(value);
     MemberStatus member;
-    member.node = fields.text("node");
-    member.role = fields.text("role");
-    member.zone = fields.text("zone");
-    member.region = fields.text("region");
-    member.ready = fields.flag("ready");
-    member.internal = fields.text("internal");
-    member.front = fields.text("front");
-    member.control = fields.text("control");
-    if (!fields.whole()) return std::nullopt;
+    member.node = reader.text("node");
+    member.role = reader.text("role");
+    member.zone = reader.text("zone");
+    member.region = reader.text("region");
+    member.ready = reader.flag("ready");
+    member.internal = reader.text("internal");
+    member.front = reader.text("front");
+    member.control = reader.text("control");
+    if (!reader.complete()) return std::nullopt;
     return member;
 }
 
 std::optional<ServiceStatus> read_service(const rapidjson::Value& value) {
-    Fields fields(value);
+    ObjectReader reader(value);
     ServiceStatus service;
-    service.service = fields.text("service");
-    service.ready = fields.number("ready");
-    service.draining = fields.number("draining");
-    if (!fields.whole()) return std::nullopt;
+    service.service = reader.text("service");
+    service.ready = reader.number("ready");
+    service.draining = reader.number("draining");
+    if (!reader.complete()) return std::nullopt;
     return service;
 }
 
 std::optional<AcceptedVersion> read_version(const rapidjson::Value& value) {
-    Fields fields(value);
+    ObjectReader reader(value);
     AcceptedVersion accepted;
-    accepted.position = fields.number("position");
-    accepted.version = fields.text("version");
-    accepted.hash = fields.text("hash");
-    accepted.in_force = fields.flag("in_force");
-    if (fields.find("bytes")) accepted.bytes = fields.number("bytes");
-    if (!fields.whole()) return std::nullopt;
+    accepted.position = reader.number("position");
+    accepted.version = reader.text("version");
+    accepted.hash = reader.text("hash");
+    accepted.in_force = reader.flag("in_force");
+    if (reader.find("bytes")) accepted.bytes = reader.number("bytes");
+    if (!reader.complete()) return std::nullopt;
     return accepted;
 }
 
 std::optional<ReplicaStatus> read_replica(const rapidjson::Value& value) {
-    Fields fields(value);
+    ObjectReader reader(value);
     ReplicaStatus replica;
-    replica.address = fields.text("address");
-    replica.part = fields.text("part");
-    if (fields.find("behind")) replica.behind = fields.number("behind");
-    if (fields.find("silent_ms")) replica.silent_ms = fields.number("silent_ms");
-    if (!fields.whole()) return std::nullopt;
+    replica.address = reader.text("address");
+    replica.part = reader.text("part");
+    if (reader.find("behind")) replica.behind = reader.number("behind");
+    if (reader.find("silent_ms")) replica.silent_ms = reader.number("silent_ms");
+    if (!reader.complete()) return std::nullopt;
     return replica;
 }
 
-ExitCode code_of(int status) {
+ExitCode exit_code_for(int status) {
     switch (static_cast<api::Status>(status)) {
         case api::Status::precondition_failed: return ExitCode::version_conflict;
         case api::Status::bad_request:
@@ -131,23 +131,23 @@
     rapidjson::Document document;
     document.Parse(body.data(), body.size());
     if (document.HasParseError()) return std::nullopt;
-    Fields fields(document);
+    ObjectReader reader(document);
     Status status;
-    status.node = fields.text("node");
-    status.leads = fields.flag("leads");
-    status.term = fields.number("term");
-    status.leader_control = fields.text("leader_control");
-    status.commit_index = fields.number("commit_index");
-    status.applied_index = fields.number("applied_index");
-    status.configuration = fields.text("configuration");
-    status.evacuated_zones = fields.list<std::string>("evacuated_zones", read_text);
-    status.instances = fields.list<ServiceStatus>("instances", read_service);
-    status.instance_zones = fields.list<std::string>("instance_zones", read_text);
-    status.members = fields.list<MemberStatus>("members", read_member);
-    if (fields.find("staleness_ms")) status.staleness_ms = fields.number("staleness_ms");
-    if (fields.find("disk")) status.disk = fields.text("disk");
-    if (fields.find("replicas")) status.replicas = fields.list<ReplicaStatus>("replicas", read_replica);
-    if (!fields.whole()) return std::nullopt;
+    status.node = reader.text("node");
+    status.leads = reader.flag("leads");
+    status.term = reader.number("term");
+    status.leader_control = reader.text("leader_control");
+    status.commit_index = reader.number("commit_index");
+    status.applied_index = reader.number("applied_index");
+    status.configuration = reader.text("configuration");
+    status.evacuated_zones = reader.list<std::string>("evacuated_zones", read_text);
+    status.instances = reader.list<ServiceStatus>("instances", read_service);
+    status.instance_zones = reader.list<std::string>("instance_zones", read_text);
+    status.members = reader.list<MemberStatus>("members", read_member);
+    if (reader.find("staleness_ms")) status.staleness_ms = reader.number("staleness_ms");
+    if (reader.find("disk")) status.disk = reader.text("disk");
+    if (reader.find("replicas")) status.replicas = reader.list<ReplicaStatus>("replicas", read_replica);
+    if (!reader.complete()) return std::nullopt;
     return status;
 }
 
@@ -155,30 +155,30 @@
     rapidjson::Document document;
     document.Parse(body.data(), body.size());
     if (document.HasParseError()) return std::nullopt;
-    Fields fields(document);
-    std::vector<AcceptedVersion> versions = fields.list<AcceptedVersion>("versions", read_version);
-    if (!fields.whole()) return std::nullopt;
+    ObjectReader reader(document);
+    std::vector<AcceptedVersion> versions = reader.list<AcceptedVersion>("versions", read_version);
+    if (!reader.complete()) return std::nullopt;
     return versions;
 }
 
-std::optional<configuration::Version> version_of(const std::string& body) {
+std::optional<configuration::Version> parse_configuration_version(const std::string& body) {
     rapidjson::Document document;
     document.Parse(body.data(), body.size());
     if (document.HasParseError()) return std::nullopt;
-    return configuration::parse_version(Fields(document).text("epoch"));
+    return configuration::parse_version(ObjectReader(document).text("epoch"));
 }
 
-Failure failure_of(const HttpResponse& response) {
-    Failure failure{code_of(response.status), "status " + std::to_string(response.status), {}};
+Failure failure_from_response(const HttpResponse& response) {
+    Failure failure{exit_code_for(response.status), "status " + std::to_string(response.status), {}};
     rapidjson::Document document;
     document.Parse(response.body.data(), response.body.size());
     if (document.HasParseError()) return failure;
-    Fields fields(document);
-    const std::string reason = fields.text("error");
-    const std::string advice = fields.text("advice");
-    if (!fields.whole()) return failure;
+    ObjectReader reader(document);
+    const std::string reason = reader.text("error");
+    const std::string advice = reader.text("advice");
+    if (!reader.complete()) return failure;
     failure.reason = reason + " (status " + std::to_string(response.status) + ")";
-    // What to do about a conflict is better told by the exit code: it names this program's commands.
+    // For a version conflict the advice of the exit code is better: it names this program's commands.
     if (failure.code != ExitCode::version_conflict) failure.advice = advice;
     return failure;
 }
--- a/src/program/answers.h
+++ b/src/program/answers.h
@@ -1,4 +1,4 @@
-// Answers of control planes, read into types. Pure.
+// Parses the JSON bodies of control planes' HTTP responses. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -12,65 +12,71 @@
 
 namespace dewweir::program {
 
+// A gateway or control plane, as the answering control plane knows it. Addresses are HOST:PORT texts, empty
+// where the process offers no such interface.
 struct MemberStatus {
-    std::string node;
-    std::string role;
+    std::string node;  // name of its machine
+    std::string role;  // "gateway" or "control-plane"
     std::string zone;
     std::string region;
     bool ready = false;
-    std::string internal;
-    std::string front;
-    std::string control;
+    std::string internal;  // address for other processes of the system
+    std::string front;     // address for clients
+    std::string control;   // address for hosts and the operator
 };
 
+// Number of hosts of one service, by state.
 struct ServiceStatus {
     std::string service;
     std::uint64_t ready = 0;
     std::uint64_t draining = 0;
 };
 
-// One member of the replicated log.
+// A replica of the control planes' Raft log, as its leader sees it.
 struct ReplicaStatus {
     std::string address;
-    std::string part;                     // voter, learner, outgoing
-    std::optional<std::uint64_t> behind;  // entries that its disk lacks; told by the leader alone
-    std::optional<std::uint64_t> silent_ms;
+    std::string part;                        // role in the Raft group: voter, learner or outgoing
+    std::optional<std::uint64_t> behind;     // log entries not yet on its disk; only the leader reports it
+    std::optional<std::uint64_t> silent_ms;  // time since its last message; likewise
 };
 
-// The body of GET /v1/status.
+// Body of GET /v1/status: the state of the whole system as the answering control plane knows it.
 struct Status {
     std::string node;
-    bool leads = false;
+    bool leads = false;  // whether this control plane is the Raft leader
     std::uint64_t term = 0;
-    std::string leader_control;
+    std::string leader_control;  // control address of the leader; empty if unknown
     std::uint64_t commit_index = 0;
     std::uint64_t applied_index = 0;
-    std::string configuration;
+    std::string configuration;  // version in force
     std::vector<std::string> evacuated_zones;
     std::vector<ServiceStatus> instances;
-    std::vector<std::string> instance_zones;
+    std::vector<std::string> instance_zones;  // zones in which there are hosts
     std::vector<MemberStatus> members;
-    std::optional<std::uint64_t> staleness_ms;  // nothing: never in step with a majority
-    std::string disk;                           // empty where an earlier version answers
+    // How long changes may already have been acknowledged that this control plane lacks; absent if it never
+    // was in sync with a majority.
+    std::optional<std::uint64_t> staleness_ms;
+    std::string disk;  // state of its disk, like "takes writes"; empty from control planes of earlier builds
     std::vector<ReplicaStatus> replicas;
 };
 
+// A configuration that was accepted, from the body of GET /v1/history.
 struct AcceptedVersion {
-    std::uint64_t position = 0;
+    std::uint64_t position = 0;  // ordinal among the accepted versions, 1 is the oldest
     std::string version;
     std::string hash;
     bool in_force = false;
-    std::optional<std::uint64_t> bytes;
+    std::optional<std::uint64_t> bytes;  // size; reported only for the version in force
 };
 
-// Nothing where the body cannot be read whole.
+// Both return nothing if the body is not JSON, or if a required field is missing or has the wrong type.
 std::optional<Status> parse_status(const std::string& body);
 std::optional<std::vector<AcceptedVersion>> parse_history(const std::string& body);
 
-// The version of a configuration's body; nothing where it has none.
-std::optional<configuration::Version> version_of(const std::string& body);
+// The version of the configuration in `body`; nothing if it has none.
+std::optional<configuration::Version> parse_configuration_version(const std::string& body);
 
-// What an answer other than 200 means; holds the reason and the advice that came with it.
-Failure failure_of(const HttpResponse& response);
+// The failure that a response other than 200 stands for, with the reason and advice of its body.
+Failure failure_from_response(const HttpResponse& response);
 
 }  // namespace dewweir::program
--- a/src/program/arguments.cpp
+++ b/src/program/arguments.cpp
@@ -13,28 +13,28 @@
 
 constexpr std::size_t largest_port = 65535;
 
-enum class Calls : bool { no, yes };
+enum class CallsControlPlane : bool { no, yes };
 
-// One row a command: its words, the operand it takes, and whether it calls a control plane.
+// One command: its words, its operand and whether it calls a control plane.
 struct CommandRow {
     CommandName name;
     std::string_view first;
-    std::string_view second;   // empty: a command of one word
-    std::string_view operand;  // empty: none
-    Calls calls;
+    std::string_view second;   // empty for a command of one word
+    std::string_view operand;  // empty if it takes none
+    CallsControlPlane calls;
 };
 
 constexpr std::array command_table = {
-    CommandRow{CommandName::config_get, "config", "get", "", Calls::yes},
-    CommandRow{CommandName::config_put, "config", "put", "FILE", Calls::yes},
-    CommandRow{CommandName::config_diff, "config", "diff", "FILE", Calls::yes},
-    CommandRow{CommandName::config_check, "config", "check", "FILE", Calls::no},
-    CommandRow{CommandName::config_history, "config", "history", "", Calls::yes},
-    CommandRow{CommandName::evacuate, "evacuate", "", "ZONE", Calls::yes},
-    CommandRow{CommandName::members, "members", "", "", Calls::yes},
-    CommandRow{CommandName::status, "status", "", "", Calls::yes},
-    CommandRow{CommandName::explain_settings, "explain-settings", "", "", Calls::no},
-    CommandRow{CommandName::check_settings, "check-settings", "", "FILE", Calls::no},
+    CommandRow{CommandName::config_get, "config", "get", "", CallsControlPlane::yes},
+    CommandRow{CommandName::config_put, "config", "put", "FILE", CallsControlPlane::yes},
+    CommandRow{CommandName::config_diff, "config", "diff", "FILE", CallsControlPlane::yes},
+    CommandRow{CommandName::config_check, "config", "check", "FILE", CallsControlPlane::no},
+    CommandRow{CommandName::config_history, "config", "history", "", CallsControlPlane::yes},
+    CommandRow{CommandName::evacuate, "evacuate", "", "ZONE", CallsControlPlane::yes},
+    CommandRow{CommandName::members, "members", "", "", CallsControlPlane::yes},
+    CommandRow{CommandName::status, "status", "", "", CallsControlPlane::yes},
+    CommandRow{CommandName::explain_settings, "explain-settings", "", "", CallsControlPlane::no},
+    CommandRow{CommandName::check_settings, "check-settings", "", "FILE", CallsControlPlane::no},
 };
 
 Failure usage_failure(std::string reason, std::string advice = {}) {
@@ -47,7 +47,7 @@
     return name;
 }
 
-// The options as given, unchecked.
+// Options and words of the command line, not yet validated.
 struct RawOptions {
     std::string control;
     std::string if_match;
@@ -59,9 +59,10 @@
     std::vector<std::string> words;
 };
 
-// TCLAP tells arguments apart by their descriptions too. It keeps for the whole process that an argument
-// without a name was optional and allows no other then: the words are required, and a placeholder always
-// stands before them.
+// Splits the command line into options and words. Two peculiarities of TCLAP: it distinguishes arguments by
+// their descriptions too, so these must differ; and once a process has created an optional argument without
+// a name, it rejects any further one. The words are therefore declared as required, and a placeholder is put
+// before them.
 std::variant<RawOptions, Failure> read_options(const std::vector<std::string>& words) {
     TCLAP::CmdLine line("dewweir", ' ', "", false);
     line.setExceptionHandling(false);
@@ -77,7 +78,7 @@
     all.insert(all.end(), words.begin(), words.end());
     try {
         line.parse(all);
-    } catch (const TCLAP::ArgException& fault) { return usage_failure(fault.argId() + ": " + fault.error()); }
+    } catch (const TCLAP::ArgException& error) { return usage_failure(error.argId() + ": " + error.error()); }
     std::vector<std::string> command = rest.getValue();
     command.erase(command.begin());
     return RawOptions{control.getValue(), if_match.getValue(), timeout.getValue(), undo.getValue(),
@@ -99,21 +100,22 @@
 
 std::variant<std::string, Failure> read_operand(const CommandRow& row,
                                                 const std::vector<std::string>& words) {
-    const std::size_t before = row.second.empty() ? 1 : 2;
-    const std::size_t given = words.size() - before;
-    const std::size_t wanted = row.operand.empty() ? 0 : 1;
-    if (given < wanted) {
+    const std::size_t command_words = row.second.empty() ? 1 : 2;
+    const std::size_t given = words.size() - command_words;
+    const std::size_t expected = row.operand.empty() ? 0 : 1;
+    if (given < expected) {
         const std::string operand(row.operand);
         return usage_failure(full_name(row) + ": " + operand + " is missing",
                              "write dewweir " + full_name(row) + " " + operand);
     }
-    if (given > wanted) {
-        return usage_failure(full_name(row) + ": too many words, from " + words[before + wanted] + " on");
+    if (given > expected) {
+        return usage_failure(full_name(row) + ": too many words, from " + words[command_words + expected] +
+                             " on");
     }
-    if (wanted == 0) return std::string();
-    if (words[before].empty())
+    if (expected == 0) return std::string();
+    if (words[command_words].empty())
         return usage_failure(full_name(row) + ": " + std::string(row.operand) + " is empty");
-    return words[before];
+    return words[command_words];
 }
 
 bool is_name_character(char character) {
@@ -149,7 +151,7 @@
 std::variant<std::chrono::milliseconds, Failure> read_timeout(const std::string& text) {
     if (text.empty()) return default_timeout;
     const settings::ParsedDuration parsed = settings::parse_duration(text);
-    if (!parsed.fault && parsed.value >= shortest_timeout && parsed.value <= longest_timeout)
+    if (!parsed.error && parsed.value >= shortest_timeout && parsed.value <= longest_timeout)
         return parsed.value;
     return usage_failure("--timeout: " + text + " is no time from 100ms to 600s", "write it as 1500ms or 8s");
 }
@@ -167,7 +169,8 @@
     return std::nullopt;
 }
 
-ArgumentResult complete(const CommandRow& row, const RawOptions& options, const Environment& environment) {
+ArgumentResult to_arguments(const CommandRow& row, const RawOptions& options,
+                            const Environment& environment) {
     Arguments arguments;
     arguments.command = row.name;
     arguments.json = options.json;
@@ -189,7 +192,7 @@
     const auto timeout = read_timeout(options.timeout);
     if (const auto* const failure = std::get_if<Failure>(&timeout)) return *failure;
     arguments.timeout = std::get<std::chrono::milliseconds>(timeout);
-    if (row.calls == Calls::no) return arguments;
+    if (row.calls == CallsControlPlane::no) return arguments;
     const auto controls =
         read_controls(options.control.empty() ? environment.control.value_or("") : options.control);
     if (const auto* const failure = std::get_if<Failure>(&controls)) return *failure;
@@ -226,7 +229,7 @@
     if (options.words.empty()) return usage_failure("no command is given");
     const auto command = find_command(options.words);
     if (const auto* const failure = std::get_if<Failure>(&command)) return *failure;
-    return complete(*std::get<const CommandRow*>(command), options, environment);
+    return to_arguments(*std::get<const CommandRow*>(command), options, environment);
 }
 
 }  // namespace dewweir::program
--- a/src/program/arguments.h
+++ b/src/program/arguments.h
@@ -1,5 +1,5 @@
-// The operator's command line: read and checked before anything else happens. Pure: the environment is handed
-// in.
+// Parses and validates the operator's command line before any command runs. Pure: environment variables are
+// passed in.
 #pragma once
 
 #include <chrono>
@@ -28,7 +28,7 @@
     version,
 };
 
-// Where a control plane takes operators' calls.
+// Address of a control plane's API for operators.
 struct ControlAddress {
     std::string host;  // a name or an IPv4 address
     std::string port;
@@ -38,20 +38,21 @@
 
 std::string to_string(const ControlAddress& address);
 
-// HOST:PORT; nothing for any other text.
+// Parses HOST:PORT with a port from 1 to 65535; returns nothing for any other text.
 std::optional<ControlAddress> parse_control_address(std::string_view text);
 
+// A valid command line.
 struct Arguments {
     CommandName command = CommandName::help;
-    std::string operand{};                   // FILE or ZONE; empty where the command takes none
-    std::vector<ControlAddress> controls{};  // at least one for commands that call a control plane
-    std::optional<configuration::Version> if_match{};
-    bool undo = false;
+    std::string operand{};                             // FILE or ZONE; empty if the command takes none
+    std::vector<ControlAddress> controls{};            // at least one for commands that call a control plane
+    std::optional<configuration::Version> if_match{};  // config put: version the file is based on
+    bool undo = false;                                 // evacuate: withdraw the evacuation
     bool json = false;
-    std::chrono::milliseconds timeout{0};  // for all tries of a call together
+    std::chrono::milliseconds timeout{0};  // for all attempts of one call together
 };
 
-// What the environment says, nothing where a variable is not set.
+// Environment variables that the command line depends on; absent if not set.
 struct Environment {
     std::optional<std::string> control;  // DEWWEIR_CONTROL
 };
@@ -63,7 +64,7 @@
 
 using ArgumentResult = std::variant<Arguments, Failure>;
 
-// `words`: the command line without the program's name.
+// `words`: the command line without the program's name. Fails with ExitCode::usage.
 ArgumentResult parse_arguments(const std::vector<std::string>& words, const Environment& environment);
 
 }  // namespace dewweir::program
--- a/src/program/command.h
+++ b/src/program/command.h
@@ -1,5 +1,5 @@
-// The operator's commands, each in a file of its own. A command writes its result to `out` and returns its
-// exit code, or a failure for main to describe.
+// The operator's commands, each implemented in its own file. A command writes its result to `out` and returns
+// its exit code, or a failure that main prints.
 #pragma once
 
 #include <ostream>
@@ -10,6 +10,7 @@
 
 namespace dewweir::program {
 
+// Arguments of a command and everything it needs to run.
 struct Command {
     const Arguments& arguments;
     Transport& transport;
@@ -32,7 +33,7 @@
 CommandResult explain_settings(const Command& command);
 CommandResult check_settings(const Command& command);
 
-// Carries out what the arguments ask for.
+// Runs the command that the arguments name.
 CommandResult run_command(const Command& command);
 
 }  // namespace dewweir::program
--- a/src/program/config_check.cpp
+++ b/src/program/config_check.cpp
@@ -1,4 +1,4 @@
-// `dewweir config check FILE`: checks a configuration without calling anyone.
+// `dewweir config check FILE`: validates a configuration file without calling a control plane.
 #include "program/command.h"
 #include "program/configuration_call.h"
 #include "program/json_text.h"
--- a/src/program/config_diff.cpp
+++ b/src/program/config_diff.cpp
@@ -1,4 +1,5 @@
-// `dewweir config diff FILE`: what putting the file would change. API keys are counted, never shown.
+// `dewweir config diff FILE`: shows what putting the file in force would change. API keys are counted, never
+// printed.
 #include "program/command.h"
 #include "program/configuration_call.h"
 #include "program/configuration_diff.h"
@@ -7,7 +8,7 @@
 namespace dewweir::program {
 namespace {
 
-constexpr std::string_view nothing_in_force = "{}";
+constexpr std::string_view empty_configuration = "{}";
 
 void print(const Command& command, const Difference& difference) {
     command.out << to_string(difference.kind) << " " << difference.path;
@@ -50,8 +51,9 @@
     ControlClient client = command.client();
     const auto read = read_in_force(client);
     if (const auto* const failure = std::get_if<Failure>(&read)) return *failure;
-    const InForce& in_force = std::get<InForce>(read);
-    const std::string before = in_force.version.number == 0 ? std::string(nothing_in_force) : in_force.text;
+    const ConfigurationInForce& in_force = std::get<ConfigurationInForce>(read);
+    const std::string before =
+        in_force.version.number == 0 ? std::string(empty_configuration) : in_force.text;
     const auto differences = compare_configurations(before, std::get<CheckedFile>(file).text);
     if (!differences)
         return Failure{ExitCode::unexpected_answer, "the configuration in force is no JSON", {}};
--- a/src/program/config_get.cpp
+++ b/src/program/config_get.cpp
@@ -1,4 +1,4 @@
-// `dewweir config get`: the configuration in force, byte for byte as it was put.
+// `dewweir config get`: prints the configuration in force, byte for byte as it was submitted.
 #include "program/command.h"
 #include "program/configuration_call.h"
 
@@ -8,7 +8,7 @@
     ControlClient client = command.client();
     const auto in_force = read_in_force(client);
     if (const auto* const failure = std::get_if<Failure>(&in_force)) return *failure;
-    const InForce& configuration = std::get<InForce>(in_force);
+    const ConfigurationInForce& configuration = std::get<ConfigurationInForce>(in_force);
     if (configuration.version.number == 0) {
         return Failure{ExitCode::no_configuration, "no configuration is in force", {}};
     }
--- a/src/program/config_history.cpp
+++ b/src/program/config_history.cpp
@@ -1,4 +1,4 @@
-// `dewweir config history`: the versions that were accepted, oldest first.
+// `dewweir config history`: lists the accepted versions, oldest first.
 #include "api/status.h"
 #include "program/answers.h"
 #include "program/command.h"
@@ -45,7 +45,7 @@
     const CallResult result = client.call({"GET", history_target});
     if (const auto* const failure = std::get_if<Failure>(&result)) return *failure;
     const HttpResponse& response = std::get<HttpResponse>(result);
-    if (response.status != static_cast<int>(api::Status::ok)) return failure_of(response);
+    if (response.status != static_cast<int>(api::Status::ok)) return failure_from_response(response);
     const auto versions = parse_history(response.body);
     if (!versions) return Failure{ExitCode::unexpected_answer, "the history cannot be read", {}};
     if (command.arguments.json) {
--- a/src/program/config_put.cpp
+++ b/src/program/config_put.cpp
@@ -1,5 +1,5 @@
-// `dewweir config put FILE`: checks the file, then puts it on top of the version in force, or of the one
-// given by --if-match.
+// `dewweir config put FILE`: validates the file, then submits it as the successor of the version in force, or
+// of the version given by --if-match.
 #include "api/status.h"
 #include "configuration/parser.h"
 #include "program/answers.h"
@@ -12,14 +12,15 @@
 
 using configuration::Version;
 
-// The version to build on. Without --if-match it is the one in force, which the file must follow or be: a
-// file of an earlier version would be acknowledged, as it was taken before, and not be in force.
+// The version that the file replaces. Without --if-match it is the version in force, and the file must either
+// be newer or identical to it: the control planes would acknowledge a file that they accepted earlier without
+// putting it in force again.
 std::variant<Version, Failure> base_version(const Command& command, ControlClient& client,
                                             const CheckedFile& file) {
     if (command.arguments.if_match) return *command.arguments.if_match;
     const auto read = read_in_force(client);
     if (const auto* const failure = std::get_if<Failure>(&read)) return *failure;
-    const InForce& in_force = std::get<InForce>(read);
+    const ConfigurationInForce& in_force = std::get<ConfigurationInForce>(read);
     if (in_force.text == file.text) return in_force.version;
     const auto rejection = configuration::check_follows(file.configuration, in_force.version);
     if (!rejection) return in_force.version;
@@ -62,7 +63,7 @@
         client.call({"PUT", configuration_target, to_string(base_number), checked.text});
     if (const auto* const failure = std::get_if<Failure>(&result)) return *failure;
     const HttpResponse& response = std::get<HttpResponse>(result);
-    if (response.status != static_cast<int>(api::Status::ok)) return failure_of(response);
+    if (response.status != static_cast<int>(api::Status::ok)) return failure_from_response(response);
     report(command, checked.configuration.epoch, base_number);
     return ExitCode::done;
 }
--- a/src/program/configuration_call.h
+++ b/src/program/configuration_call.h
@@ -1,4 +1,5 @@
-// The configuration as commands need it: in a file, checked, and in force at the control planes.
+// Reads the configurations that commands work with: one from a file, validated, and the one in force at the
+// control planes.
 #pragma once
 
 #include <string>
@@ -11,19 +12,23 @@
 
 constexpr const char* configuration_target = "/v1/config";
 
+// A valid configuration file.
 struct CheckedFile {
     std::string text;
     configuration::Configuration configuration;
 };
 
-struct InForce {
-    configuration::Version version;  // 0: none is in force
+// The configuration in force at the control planes.
+struct ConfigurationInForce {
+    configuration::Version version;  // 0: no configuration is in force yet
     std::string text;
 };
 
-// Reads and checks a file as the control planes would, save that its epoch has to be greater.
+// Reads a file and validates it like the control planes do, except that its epoch is not compared with the
+// version in force.
 std::variant<CheckedFile, Failure> read_configuration_file(const std::string& path);
 
-std::variant<InForce, Failure> read_in_force(ControlClient& client);
+// Fetches the configuration in force.
+std::variant<ConfigurationInForce, Failure> read_in_force(ControlClient& client);
 
 }  // namespace dewweir::program
--- a/src/program/configuration_diff.cpp
+++ b/src/program/configuration_diff.cpp
@@ -23,19 +23,21 @@
 
 bool is_secret(const std::string& path) { return path.ends_with(secret_field); }
 
-bool holds_parts(const Value& value) { return value.IsObject() || value.IsArray(); }
+// Whether the value is an object or a list.
+bool is_container(const Value& value) { return value.IsObject() || value.IsArray(); }
 
-// What may be shown of a value at this path: whole lists of objects may hold keys.
-std::string shown(const std::string& path, const Value& value) {
+// Text for a value at this path that reveals no API keys: objects and lists of containers, which may contain
+// keys, are not printed.
+std::string display_text(const std::string& path, const Value& value) {
     if (is_secret(path)) return value.IsArray() ? std::to_string(value.Size()) + " keys" : "hidden";
     if (value.IsObject()) return {};
-    if (value.IsArray() && std::any_of(value.Begin(), value.End(), holds_parts)) {
+    if (value.IsArray() && std::any_of(value.Begin(), value.End(), is_container)) {
         return std::to_string(value.Size()) + " entries";
     }
     return compact(value);
 }
 
-// The text by which an element of a list is matched; nothing where it has none.
+// Name by which an element of a list is matched; nothing if it has none.
 std::optional<std::string> element_name(const Value& element) {
     if (!element.IsObject()) return std::nullopt;
     for (const char* const field : {"name", "backend"}) {
@@ -45,21 +47,22 @@
     return std::nullopt;
 }
 
-using Parts = std::map<std::string, const Value*>;
+using Children = std::map<std::string, const Value*>;
 
-// The parts of an object or of a list whose elements all have names of their own; else nothing.
-std::optional<Parts> parts_of(const Value& value) {
-    Parts parts;
+// Children by name: the fields of an object, or the elements of a list if all have distinct names. Nothing
+// for other values.
+std::optional<Children> children_of(const Value& value) {
+    Children children;
     if (value.IsObject()) {
-        for (const auto& field : value.GetObject()) parts[field.name.GetString()] = &field.value;
-        return parts;
+        for (const auto& field : value.GetObject()) children[field.name.GetString()] = &field.value;
+        return children;
     }
     if (!value.IsArray()) return std::nullopt;
     for (const Value& element : value.GetArray()) {
         const std::optional<std::string> name = element_name(element);
-        if (!name || !parts.emplace(*name, &element).second) return std::nullopt;
+        if (!name || !children.emplace(*name, &element).second) return std::nullopt;
     }
-    return parts;
+    return children;
 }
 
 std::string joined(const std::string& path, const std::string& name) {
@@ -69,34 +72,36 @@
 void compare(const std::string& path, const Value& before, const Value& after,
              std::vector<Difference>& differences);
 
-void compare_parts(const std::string& path, const Parts& before, const Parts& after,
-                   std::vector<Difference>& differences) {
+void compare_children(const std::string& path, const Children& before, const Children& after,
+                      std::vector<Difference>& differences) {
     for (const auto& [name, value] : before) {
-        const std::string place = joined(path, name);
+        const std::string child_path = joined(path, name);
         const auto found = after.find(name);
         if (found == after.end()) {
-            differences.push_back({DifferenceKind::removed, place, shown(place, *value), {}});
+            differences.push_back(
+                {DifferenceKind::removed, child_path, display_text(child_path, *value), {}});
         } else {
-            compare(place, *value, *found->second, differences);
+            compare(child_path, *value, *found->second, differences);
         }
     }
     for (const auto& [name, value] : after) {
         if (before.contains(name)) continue;
-        const std::string place = joined(path, name);
-        differences.push_back({DifferenceKind::added, place, {}, shown(place, *value)});
+        const std::string child_path = joined(path, name);
+        differences.push_back({DifferenceKind::added, child_path, {}, display_text(child_path, *value)});
     }
 }
 
 void compare(const std::string& path, const Value& before, const Value& after,
              std::vector<Difference>& differences) {
     if (before == after) return;
-    const bool by_parts = !is_secret(path) && before.GetType() == after.GetType();
-    const std::optional<Parts> parts_before = parts_of(before);
-    const std::optional<Parts> parts_after = parts_of(after);
-    if (by_parts && parts_before && parts_after) {
-        return compare_parts(path, *parts_before, *parts_after, differences);
+    const bool by_children = !is_secret(path) && before.GetType() == after.GetType();
+    const std::optional<Children> children_before = children_of(before);
+    const std::optional<Children> children_after = children_of(after);
+    if (by_children && children_before && children_after) {
+        return compare_children(path, *children_before, *children_after, differences);
     }
-    differences.push_back({DifferenceKind::changed, path, shown(path, before), shown(path, after)});
+    differences.push_back(
+        {DifferenceKind::changed, path, display_text(path, before), display_text(path, after)});
 }
 
 }  // namespace
--- a/src/program/configuration_diff.h
+++ b/src/program/configuration_diff.h
@@ -1,5 +1,5 @@
-// What differs between two configurations, by place. Objects in lists are matched by their `name` or
-// `backend`, whatever their order. It never shows API keys. Pure.
+// Compares two configurations field by field. Objects in lists are matched by their `name` or `backend`,
+// regardless of their order. API keys never appear in the result. Pure functions.
 #pragma once
 
 #include <optional>
@@ -11,10 +11,11 @@
 
 enum class DifferenceKind { added, removed, changed };
 
+// A field that differs, or was added or removed.
 struct Difference {
     DifferenceKind kind = DifferenceKind::changed;
-    std::string path;    // as routes/read/deadline
-    std::string before;  // JSON; empty for whole objects and lists that were added or removed
+    std::string path;    // like routes/read/deadline
+    std::string before;  // value as JSON, or a count of entries or keys; empty for objects and where absent
     std::string after;
 
     bool operator==(const Difference&) const = default;
@@ -22,7 +23,7 @@
 
 std::string_view to_string(DifferenceKind kind);
 
-// Nothing where one of the texts is no JSON.
+// All differences from `before` to `after`; nothing if one of the texts is not JSON.
 std::optional<std::vector<Difference>> compare_configurations(const std::string& before,
                                                               const std::string& after);
 
--- a/src/program/control_client.cpp
+++ b/src/program/control_client.cpp
@@ -9,24 +9,26 @@
 namespace dewweir::program {
 namespace {
 
-constexpr std::chrono::milliseconds silence_limit{1'000};
-constexpr std::chrono::milliseconds first_pause{100};
-constexpr std::chrono::milliseconds longest_pause{1'000};
-constexpr int most_redirects = 2;
-// What a slow link carries in a second; large bodies get that much longer.
-constexpr std::size_t body_bytes_per_second = 4u << 20;
+constexpr std::chrono::milliseconds base_stall_timeout{1'000};
+constexpr std::chrono::milliseconds initial_backoff{100};
+constexpr std::chrono::milliseconds max_backoff{1'000};
+constexpr int max_redirects = 2;
+// Throughput of a slow link. Each so many bytes of a body extend the stall timeout by one base timeout.
+constexpr std::size_t slow_link_bytes_per_second = 4u << 20;
 constexpr int first_server_error = 500;
 
-std::chrono::milliseconds silence_for(const HttpRequest& request) {
-    return silence_limit * (1 + static_cast<int>(request.body.size() / body_bytes_per_second));
+std::chrono::milliseconds stall_timeout_for(const HttpRequest& request) {
+    return base_stall_timeout * (1 + static_cast<int>(request.body.size() / slow_link_bytes_per_second));
 }
 
 bool is(int status, api::Status expected) { return status == static_cast<int>(expected); }
 
-// Such an answer settles nothing: another control plane may do better, or the same one later.
-bool is_clear(int status) {
-    const bool later = is(status, api::Status::request_timeout) || is(status, api::Status::too_many_requests);
-    return !later && status < first_server_error && !is(status, api::Status::temporary_redirect);
+// Whether a response settles the call. After any other response the call is repeated: another control plane,
+// or the same one later, may give a conclusive one.
+bool is_conclusive(int status) {
+    const bool try_later =
+        is(status, api::Status::request_timeout) || is(status, api::Status::too_many_requests);
+    return !try_later && status < first_server_error && !is(status, api::Status::temporary_redirect);
 }
 
 struct RedirectTarget {
@@ -48,86 +50,88 @@
 }  // namespace
 
 ExchangeResult RealTransport::exchange(const ControlAddress& address, const HttpRequest& request,
-                                       std::chrono::milliseconds silence) {
-    return program::exchange(address, request, silence);
+                                       std::chrono::milliseconds stall_timeout) {
+    return program::exchange(address, request, stall_timeout);
 }
 
 Clock::time_point RealTransport::now() { return Clock::now(); }
 
-void RealTransport::pause(std::chrono::milliseconds duration) { std::this_thread::sleep_for(duration); }
+void RealTransport::sleep_for(std::chrono::milliseconds duration) { std::this_thread::sleep_for(duration); }
 
 ControlClient::ControlClient(Transport& transport, std::vector<ControlAddress> controls,
                              std::chrono::milliseconds timeout)
     : transport_(transport), controls_(std::move(controls)), timeout_(timeout) {}
 
-// One try at one address, with the redirects that follow from it.
-ControlClient::Try ControlClient::try_once(const ControlAddress& address, HttpRequest request) {
-    Try made{address, address, {}};
-    for (int redirects = 0; redirects <= most_redirects; ++redirects) {
-        const ExchangeResult result = transport_.exchange(made.address, request, silence_for(request));
-        if (const auto* const fault = std::get_if<ExchangeFault>(&result)) {
-            made.outcome = to_string(*fault);
-            made.may_have_arrived |= may_have_arrived(*fault);
-            return made;
+// One attempt: calls the address and follows its redirects.
+ControlClient::Attempt ControlClient::attempt(const ControlAddress& address, HttpRequest request) {
+    Attempt current{address, address, {}};
+    for (int redirects = 0; redirects <= max_redirects; ++redirects) {
+        const ExchangeResult result =
+            transport_.exchange(current.last_address, request, stall_timeout_for(request));
+        if (const auto* const error = std::get_if<ExchangeError>(&result)) {
+            current.failure = to_string(*error);
+            current.may_have_arrived |= may_have_arrived(*error);
+            return current;
         }
-        made.answer = std::get<HttpResponse>(result);
-        if (is_clear(made.answer.status)) return made;
-        // Even a redirect or a 503 may come after a proposal whose leader has changed meanwhile.
-        made.may_have_arrived = true;
-        made.outcome = "status " + std::to_string(made.answer.status);
-        const std::optional<RedirectTarget> next = parse_location(made.answer.location);
-        if (!is(made.answer.status, api::Status::temporary_redirect) || !next) return made;
-        if (redirects == most_redirects) break;
-        made.address = next->address;
+        current.response = std::get<HttpResponse>(result);
+        if (is_conclusive(current.response.status)) return current;
+        // Even a redirect or a 503 may follow a proposal that was made before the leader changed.
+        current.may_have_arrived = true;
+        current.failure = "status " + std::to_string(current.response.status);
+        const std::optional<RedirectTarget> next = parse_location(current.response.location);
+        if (!is(current.response.status, api::Status::temporary_redirect) || !next) return current;
+        if (redirects == max_redirects) break;
+        current.last_address = next->address;
         request.target = next->target;
-        made.outcome.clear();
+        current.failure.clear();
     }
-    made.outcome = "too many redirects";
-    return made;
+    current.failure = "too many redirects";
+    return current;
 }
 
 CallResult ControlClient::call(const HttpRequest& request) {
     const Clock::time_point end = transport_.now() + timeout_;
-    std::chrono::milliseconds pause = first_pause;
-    std::vector<Try> last_tries(controls_.size());
+    std::chrono::milliseconds backoff = initial_backoff;
+    std::vector<Attempt> last_attempts(controls_.size());
     bool may_have_arrived = false;
     for (std::size_t next = 0;; next = (next + 1) % controls_.size()) {
-        const Try made = try_once(controls_[next], request);
-        if (made.outcome.empty()) return made.answer;
-        may_have_arrived |= made.may_have_arrived;
-        last_tries[next] = made;
-        last_tries[next].may_have_arrived = may_have_arrived;
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(end - transport_.now());
-        if (left <= std::chrono::milliseconds::zero()) break;
-        transport_.pause(std::min(pause, left));
-        pause = std::min(pause * 2, longest_pause);
+        const Attempt latest = attempt(controls_[next], request);
+        if (latest.failure.empty()) return latest.response;
+        may_have_arrived |= latest.may_have_arrived;
+        last_attempts[next] = latest;
+        last_attempts[next].may_have_arrived = may_have_arrived;
+        const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(end - transport_.now());
+        if (remaining <= std::chrono::milliseconds::zero()) break;
+        transport_.sleep_for(std::min(backoff, remaining));
+        backoff = std::min(backoff * 2, max_backoff);
     }
-    return give_up(request, last_tries);
+    return failure_after(request, last_attempts);
 }
 
-Failure ControlClient::give_up(const HttpRequest& request, const std::vector<Try>& last_tries) const {
+Failure ControlClient::failure_after(const HttpRequest& request,
+                                     const std::vector<Attempt>& last_attempts) const {
     std::string reason = "no clear answer in " + std::to_string(timeout_.count()) + " ms:";
     bool may_have_arrived = false;
-    for (const Try& made : last_tries) {
-        if (made.outcome.empty()) continue;
-        reason.append(" ").append(to_string(made.asked)).append(" (");
-        if (made.address != made.asked)
-            reason.append("sent on to ").append(to_string(made.address)).append(": ");
-        reason.append(made.outcome).append(")");
-        may_have_arrived |= made.may_have_arrived;
+    for (const Attempt& last : last_attempts) {
+        if (last.failure.empty()) continue;
+        reason.append(" ").append(to_string(last.first_address)).append(" (");
+        if (last.last_address != last.first_address)
+            reason.append("sent on to ").append(to_string(last.last_address)).append(": ");
+        reason.append(last.failure).append(")");
+        may_have_arrived |= last.may_have_arrived;
     }
-    const bool unclear = may_have_arrived && request.method != "GET";
-    return {unclear ? ExitCode::unclear : ExitCode::unreachable, reason, {}};
+    const bool outcome_unknown = may_have_arrived && request.method != "GET";
+    return {outcome_unknown ? ExitCode::outcome_unknown : ExitCode::unreachable, reason, {}};
 }
 
-EndpointAnswer ControlClient::ask(const ControlAddress& address, const HttpRequest& request) {
-    return {address, transport_.exchange(address, request, silence_for(request))};
+EndpointResult ControlClient::call_once(const ControlAddress& address, const HttpRequest& request) {
+    return {address, transport_.exchange(address, request, stall_timeout_for(request))};
 }
 
-std::vector<EndpointAnswer> ControlClient::ask_each(const HttpRequest& request) {
-    std::vector<EndpointAnswer> answers;
-    for (const ControlAddress& address : controls_) answers.push_back(ask(address, request));
-    return answers;
+std::vector<EndpointResult> ControlClient::call_each_once(const HttpRequest& request) {
+    std::vector<EndpointResult> results;
+    for (const ControlAddress& address : controls_) results.push_back(call_once(address, request));
+    return results;
 }
 
 }  // namespace dewweir::program
--- a/src/program/evacuate.cpp
+++ b/src/program/evacuate.cpp
@@ -1,4 +1,4 @@
-// `dewweir evacuate ZONE [--undo]`: asks that nothing more be sent to the hosts of a zone, or withdraws that.
+// `dewweir evacuate ZONE [--undo]`: stops all requests to the hosts of a zone, or withdraws the evacuation.
 #include <algorithm>
 
 #include "api/status.h"
@@ -12,6 +12,7 @@
 
 constexpr const char* evacuation_target = "/v1/evacuation/";
 
+// Whether a member or a host is in the zone.
 bool knows_zone(const Status& status, const std::string& zone) {
     const auto& zones = status.instance_zones;
     if (std::find(zones.begin(), zones.end(), zone) != zones.end()) return true;
@@ -19,11 +20,12 @@
                        [&zone](const MemberStatus& member) { return member.zone == zone; });
 }
 
-// A zone may be evacuated that has lost everything; more often its name is wrong.
+// Only a warning: a zone that has lost all its hosts and members may be evacuated, but a misspelt name is
+// more likely.
 void warn_of_unknown_zone(const Command& command, ControlClient& client) {
     const FleetStatus fleet = read_fleet_status(client);
-    const ControlPlaneStatus* const best = fleet.best();
-    if (!best || knows_zone(*best->status, command.arguments.operand)) return;
+    const ControlPlaneStatus* const most_current = fleet.most_current();
+    if (!most_current || knows_zone(*most_current->status, command.arguments.operand)) return;
     command.error << "dewweir: warning: no member and no instance is in zone " << command.arguments.operand
                   << "\n  what to do: check the name; dewweir members lists zones; --undo withdraws\n";
 }
@@ -51,7 +53,7 @@
     const CallResult result = client.call({command.arguments.undo ? "DELETE" : "POST", target});
     if (const auto* const failure = std::get_if<Failure>(&result)) return *failure;
     const HttpResponse& response = std::get<HttpResponse>(result);
-    if (response.status != static_cast<int>(api::Status::ok)) return failure_of(response);
+    if (response.status != static_cast<int>(api::Status::ok)) return failure_from_response(response);
     report(command);
     if (!command.arguments.undo) warn_of_unknown_zone(command, client);
     return ExitCode::done;
--- a/src/program/exit_codes.h
+++ b/src/program/exit_codes.h
@@ -1,5 +1,5 @@
-// How the program ends: a closed list of exit codes, each with its meaning and what to do. `dewweir --help`
-// prints it.
+// All exit codes of the program, each with its meaning and what the operator should do. `dewweir --help`
+// prints the table.
 #pragma once
 
 #include <array>
@@ -7,7 +7,7 @@
 
 namespace dewweir::program {
 
-// Numbers from 64 on are those of sysexits.h (4.3BSD), with their meaning there.
+// Codes from 64 on have the meaning that sysexits.h (4.3BSD) gives them.
 enum class ExitCode : int {
     done = 0,
     cannot_listen = 1,
@@ -19,8 +19,8 @@
     usage = 64,
     bad_configuration = 65,
     unreadable_file = 66,
-    unreachable = 69,
-    unclear = 75,
+    unreachable = 69,      // no conclusive response; certainly nothing was changed
+    outcome_unknown = 75,  // a change may or may not have been made
     unexpected_answer = 76,
 };
 
@@ -47,14 +47,16 @@
     ExitCodeRow{ExitCode::unreadable_file, "a file cannot be read", "check its name and permissions"},
     ExitCodeRow{ExitCode::unreachable, "no control plane gave a clear answer; nothing was changed",
                 "check --control and that a majority of control planes runs, then repeat"},
-    ExitCodeRow{ExitCode::unclear, "the order may or may not have been taken",
+    ExitCodeRow{ExitCode::outcome_unknown, "the order may or may not have been taken",
                 "repeat the same command: repeating is safe"},
     ExitCodeRow{ExitCode::unexpected_answer, "a control plane gave an answer that cannot be read",
                 "check that --control names control planes of this version"},
 };
 
+// The number that the process exits with.
 constexpr int number_of(ExitCode code) { return static_cast<int>(code); }
 
+// What the operator should do about the code.
 constexpr std::string_view advice_of(ExitCode code) {
     for (const ExitCodeRow& row : exit_code_table) {
         if (row.code == code) return row.advice;
--- a/src/program/explain_command.cpp
+++ b/src/program/explain_command.cpp
@@ -14,6 +14,8 @@
 namespace {
 
 constexpr const char* settings_variable = "DEWWEIR_CONFIG";
+
+// Prints the failure and returns its exit code.
 int fail(const Failure& failure) {
     std::cerr << describe_failure(failure, false);
     return number_of(failure.code);
@@ -32,8 +34,8 @@
     const configuration::ParseResult configuration =
         configuration::parse_configuration(std::get<FileText>(configuration_file).text);
     if (const auto* const rejection = std::get_if<configuration::Rejection>(&configuration)) {
-        const std::string place = configuration_path + ": refused at " + rejection->path;
-        return fail({ExitCode::bad_configuration, place, rejection->advice});
+        const std::string reason = configuration_path + ": refused at " + rejection->path;
+        return fail({ExitCode::bad_configuration, reason, rejection->advice});
     }
     std::cout << explain::explain_bounds(std::get<settings::Settings>(settings),
                                          std::get<configuration::Configuration>(configuration), gateways);
@@ -45,7 +47,7 @@
 int explain_command(int argc, char** argv) {
     try {
         TCLAP::CmdLine line("what the bounds of the rules come to for a configuration", ' ', "0.10.0");
-        line.setExceptionHandling(false);  // it would end the process with a status of its own
+        line.setExceptionHandling(false);  // TCLAP would exit with a code of its own
         TCLAP::UnlabeledValueArg<std::string> file("configuration", "path of the operator's JSON", true, "",
                                                    "FILE", line);
         TCLAP::ValueArg<int> gateways("g", "gateways", "how many gateways share the quotas", true, 1,
@@ -59,10 +61,10 @@
             return number_of(ExitCode::usage);
         }
         return explain(settings.getValue(), file.getValue(), gateways.getValue());
-    } catch (const TCLAP::ExitException& end) {  // after --help or --version
-        return end.getExitStatus();
-    } catch (const TCLAP::ArgException& fault) {
-        std::cerr << "dewweir: " << fault.argId() << ": " << fault.error() << "\n";
+    } catch (const TCLAP::ExitException& exit_request) {  // after --help or --version
+        return exit_request.getExitStatus();
+    } catch (const TCLAP::ArgException& error) {
+        std::cerr << "dewweir: " << error.argId() << ": " << error.error() << "\n";
         return number_of(ExitCode::usage);
     }
 }
--- a/src/program/explain_command.h
+++ b/src/program/explain_command.h
@@ -1,12 +1,13 @@
-// The sub-command `dewweir explain-bounds`: reads its two files and prints what the rules' bounds come to.
+// Command `dewweir explain-bounds`: reads the settings file and a configuration, and prints the limits that
+// follow from the bounds of the platform's invariants.
 #pragma once
 
 namespace dewweir::program {
 
 constexpr const char* explain_command_name = "explain-bounds";
 
-// `argv[0]` is the sub-command's name. Returns the exit status: 0, 2 for a file that can't be read or is
-// refused, 64 for wrong usage.
+// `argv[0]` is the command's name. Returns the exit code: done, usage, unreadable_file, bad_settings or
+// bad_configuration.
 int explain_command(int argc, char** argv);
 
 }  // namespace dewweir::program
--- a/src/program/failure.h
+++ b/src/program/failure.h
@@ -1,4 +1,4 @@
-// Why a command failed, in words for a person, and the exit code that goes with it.
+// Why a command failed: text for a person, and the exit code.
 #pragma once
 
 #include <string>
@@ -7,13 +7,14 @@
 
 namespace dewweir::program {
 
+// A failed command.
 struct Failure {
     ExitCode code = ExitCode::usage;
     std::string reason;
-    std::string advice;  // empty: the one of the exit code
+    std::string advice;  // what to do; if empty, the advice of the exit code is used
 };
 
-// One line for a person, or one JSON object: {"error":...,"advice":...,"exit_code":...}.
+// Text for a person, or one line of JSON: {"error":...,"advice":...,"exit_code":...}.
 std::string describe_failure(const Failure& failure, bool as_json);
 
 }  // namespace dewweir::program
--- a/src/program/files.h
+++ b/src/program/files.h
@@ -1,4 +1,4 @@
-// Files that are named on the command line.
+// Reads files that are named on the command line.
 #pragma once
 
 #include <string>
@@ -14,6 +14,7 @@
 
 using FileResult = std::variant<FileText, Failure>;
 
+// Reads a whole file. Fails with ExitCode::unreadable_file.
 FileResult read_file(const std::string& path);
 
 }  // namespace dewweir::program
--- a/src/program/fleet_status.cpp
+++ b/src/program/fleet_status.cpp
@@ -10,70 +10,76 @@
 
 constexpr const char* status_target = "/v1/status";
 
-ControlPlaneStatus read_one(const EndpointAnswer& answer) {
-    ControlPlaneStatus one{answer.address, std::nullopt};
-    if (const auto* const fault = std::get_if<ExchangeFault>(&answer.result)) {
-        one.fault = to_string(*fault);
-        return one;
+ControlPlaneStatus parse_result(const EndpointResult& result) {
+    ControlPlaneStatus control_plane{result.address, std::nullopt};
+    if (const auto* const error = std::get_if<ExchangeError>(&result.result)) {
+        control_plane.error = to_string(*error);
+        return control_plane;
     }
-    const HttpResponse& response = std::get<HttpResponse>(answer.result);
+    const HttpResponse& response = std::get<HttpResponse>(result.result);
     if (response.status != static_cast<int>(api::Status::ok)) {
-        one.fault = "status " + std::to_string(response.status);
-        return one;
+        control_plane.error = "status " + std::to_string(response.status);
+        return control_plane;
     }
-    one.status = parse_status(response.body);
-    if (!one.status) one.fault = "an answer that cannot be read";
-    return one;
+    control_plane.status = parse_status(response.body);
+    if (!control_plane.status) control_plane.error = "an answer that cannot be read";
+    return control_plane;
 }
 
-// Orders by how much a control plane can be trusted to know.
-bool knows_less(const ControlPlaneStatus& left, const ControlPlaneStatus& right) {
+// Orders control planes by how current their status is: those without a readable status first, then by
+// leader, term and commit index.
+bool less_current(const ControlPlaneStatus& left, const ControlPlaneStatus& right) {
     if (!left.status || !right.status) return !left.status && right.status;
-    const auto rank = [](const Status& status) {
+    const auto key = [](const Status& status) {
         return std::make_tuple(status.leads, status.term, status.commit_index);
     };
-    return rank(*left.status) < rank(*right.status);
+    return key(*left.status) < key(*right.status);
 }
 
-std::optional<ControlAddress> unasked_leader(const FleetStatus& fleet) {
-    const ControlPlaneStatus* const best = fleet.best();
-    if (!best || best->status->leads) return std::nullopt;
-    std::optional<ControlAddress> leader = parse_control_address(best->status->leader_control);
+// Address of the leader if it was not called yet.
+std::optional<ControlAddress> uncalled_leader(const FleetStatus& fleet) {
+    const ControlPlaneStatus* const most_current = fleet.most_current();
+    if (!most_current || most_current->status->leads) return std::nullopt;
+    std::optional<ControlAddress> leader = parse_control_address(most_current->status->leader_control);
     if (!leader) return std::nullopt;
-    for (const ControlPlaneStatus& asked : fleet.control_planes) {
-        if (asked.address == *leader) return std::nullopt;
+    for (const ControlPlaneStatus& called : fleet.control_planes) {
+        if (called.address == *leader) return std::nullopt;
     }
     return leader;
 }
 
 }  // namespace
 
-const ControlPlaneStatus* FleetStatus::best() const {
-    const auto found = std::max_element(control_planes.begin(), control_planes.end(), knows_less);
+const ControlPlaneStatus* FleetStatus::most_current() const {
+    const auto found = std::max_element(control_planes.begin(), control_planes.end(), less_current);
     return found == control_planes.end() || !found->status ? nullptr : &*found;
 }
 
 bool FleetStatus::has_leader() const {
-    const ControlPlaneStatus* const found = best();
+    const ControlPlaneStatus* const found = most_current();
     return found && found->status->leads;
 }
 
 FleetStatus read_fleet_status(ControlClient& client) {
     FleetStatus fleet;
-    for (const EndpointAnswer& answer : client.ask_each({"GET", status_target})) {
-        fleet.control_planes.push_back(read_one(answer));
+    for (const EndpointResult& result : client.call_each_once({"GET", status_target})) {
+        fleet.control_planes.push_back(parse_result(result));
     }
-    if (const auto leader = unasked_leader(fleet)) {
-        fleet.control_planes.push_back(read_one(client.ask(*leader, {"GET", status_target})));
+    if (const auto leader = uncalled_leader(fleet)) {
+        fleet.control_planes.push_back(parse_result(client.call_once(*leader, {"GET", status_target})));
     }
     return fleet;
 }
 
 std::optional<Failure> unreachable_failure(const FleetStatus& fleet) {
-    if (fleet.best()) return std::nullopt;
+    if (fleet.most_current()) return std::nullopt;
     std::string reason = "no control plane answers:";
-    for (const ControlPlaneStatus& one : fleet.control_planes) {
-        reason.append(" ").append(to_string(one.address)).append(" (").append(one.fault).append(")");
+    for (const ControlPlaneStatus& control_plane : fleet.control_planes) {
+        reason.append(" ")
+            .append(to_string(control_plane.address))
+            .append(" (")
+            .append(control_plane.error)
+            .append(")");
     }
     return Failure{ExitCode::unreachable, reason, {}};
 }
--- a/src/program/help.h
+++ b/src/program/help.h
@@ -1,4 +1,4 @@
-// The text of `dewweir --help` and the version.
+// The version of the program and the text of `dewweir --help`.
 #pragma once
 
 #include <string>
--- a/src/program/http_exchange.cpp
+++ b/src/program/http_exchange.cpp
@@ -12,8 +12,8 @@
 namespace dewweir::program {
 namespace {
 
-constexpr std::size_t most_answer_bytes = 32u << 20;
-constexpr std::size_t piece_bytes = 64u << 10;
+constexpr std::size_t max_response_bytes = 32u << 20;
+constexpr std::size_t chunk_bytes = 64u << 10;
 
 std::string encode(const ControlAddress& address, const HttpRequest& request) {
     std::string text = request.method + " " + request.target + " HTTP/1.1\r\nHost: " + to_string(address);
@@ -26,39 +26,44 @@
     return text.append("\r\n").append(request.body);
 }
 
+// One connection with one request; the steps are called in order, each once.
 class Exchange {
   public:
-    explicit Exchange(std::chrono::milliseconds silence) : silence_(silence), socket_(io_) {}
+    explicit Exchange(std::chrono::milliseconds stall_timeout)
+        : stall_timeout_(stall_timeout), socket_(io_) {}
 
-    // Each step returns why it failed, or nothing.
-    std::optional<ExchangeFault> connect(const ControlAddress& address) {
+    // connect() and send() return an error, or nothing on success.
+    std::optional<ExchangeError> connect(const ControlAddress& address) {
         asio::error_code error;
         asio::ip::tcp::resolver resolver(io_);
         const auto endpoints = resolver.resolve(address.host, address.port, error);
-        if (error) return ExchangeFault::unknown_host;
-        asio::async_connect(
-            socket_, endpoints,
-            [this](const asio::error_code& fault, const asio::ip::tcp::endpoint&) { ended(fault, 0); });
-        if (wait() != Progress::made) return ExchangeFault::not_connected;
+        if (error) return ExchangeError::unknown_host;
+        asio::async_connect(socket_, endpoints,
+                            [this](const asio::error_code& result, const asio::ip::tcp::endpoint&) {
+                                on_complete(result, 0);
+                            });
+        if (wait() != Outcome::completed) return ExchangeError::not_connected;
         return std::nullopt;
     }
 
-    std::optional<ExchangeFault> send(const std::string& text) {
-        asio::async_write(socket_, asio::buffer(text),
-                          [this](const asio::error_code& fault, std::size_t bytes) { ended(fault, bytes); });
-        return fault_of(wait());
+    std::optional<ExchangeError> send(const std::string& text) {
+        asio::async_write(
+            socket_, asio::buffer(text),
+            [this](const asio::error_code& error, std::size_t bytes) { on_complete(error, bytes); });
+        return error_of(wait());
     }
 
     ExchangeResult receive() {
-        net::HttpReader reader(HTTP_RESPONSE, most_answer_bytes);
+        net::HttpReader reader(HTTP_RESPONSE, max_response_bytes);
         net::Ring ring;
         while (true) {
-            socket_.async_read_some(asio::buffer(piece_), [this](const asio::error_code& fault,
-                                                                 std::size_t bytes) { ended(fault, bytes); });
-            if (const auto fault = fault_of(wait())) return *fault;
-            ring.append({piece_.data(), bytes_});
+            socket_.async_read_some(
+                asio::buffer(chunk_),
+                [this](const asio::error_code& error, std::size_t bytes) { on_complete(error, bytes); });
+            if (const auto error = error_of(wait())) return *error;
+            ring.append({chunk_.data(), bytes_});
             const net::HttpReader::State state = reader.read(ring);
-            if (state == net::HttpReader::State::bad) return ExchangeFault::broken;
+            if (state == net::HttpReader::State::bad) return ExchangeError::connection_lost;
             if (state == net::HttpReader::State::whole) break;
         }
         HttpResponse response;
@@ -69,33 +74,33 @@
     }
 
   private:
-    enum class Progress { made, none, failed };
+    enum class Outcome { completed, timed_out, failed };
 
-    static std::optional<ExchangeFault> fault_of(Progress progress) {
-        if (progress == Progress::none) return ExchangeFault::silent;
-        if (progress == Progress::failed) return ExchangeFault::broken;
+    static std::optional<ExchangeError> error_of(Outcome outcome) {
+        if (outcome == Outcome::timed_out) return ExchangeError::timed_out;
+        if (outcome == Outcome::failed) return ExchangeError::connection_lost;
         return std::nullopt;
     }
 
-    void ended(const asio::error_code& fault, std::size_t bytes) {
-        fault_ = fault;
+    void on_complete(const asio::error_code& error, std::size_t bytes) {
+        error_ = error;
         bytes_ = bytes;
-        ended_ = true;
+        completed_ = true;
     }
 
-    // Runs the one operation that was begun.
-    Progress wait() {
-        ended_ = false;
+    // Runs the event loop until the operation that was started completes, at most the stall timeout.
+    Outcome wait() {
+        completed_ = false;
         io_.restart();
-        io_.run_for(silence_);
-        if (!ended_) return Progress::none;
-        return fault_ ? Progress::failed : Progress::made;
+        io_.run_for(stall_timeout_);
+        if (!completed_) return Outcome::timed_out;
+        return error_ ? Outcome::failed : Outcome::completed;
     }
 
-    std::chrono::milliseconds silence_;
-    std::array<char, piece_bytes> piece_{};
-    bool ended_ = false;
-    asio::error_code fault_;
+    std::chrono::milliseconds stall_timeout_;
+    std::array<char, chunk_bytes> chunk_{};
+    bool completed_ = false;
+    asio::error_code error_;
     std::size_t bytes_ = 0;
     asio::io_context io_;
     asio::ip::tcp::socket socket_;
@@ -103,22 +108,22 @@
 
 }  // namespace
 
-std::string_view to_string(ExchangeFault fault) {
-    switch (fault) {
-        case ExchangeFault::unknown_host: return "the host's name has no address";
-        case ExchangeFault::not_connected: return "no connection";
-        case ExchangeFault::silent: return "no answer in time";
-        case ExchangeFault::broken: return "the connection broke before an answer";
+std::string_view to_string(ExchangeError error) {
+    switch (error) {
+        case ExchangeError::unknown_host: return "the host's name has no address";
+        case ExchangeError::not_connected: return "no connection";
+        case ExchangeError::timed_out: return "no answer in time";
+        case ExchangeError::connection_lost: return "the connection broke before an answer";
     }
     return "";
 }
 
 ExchangeResult exchange(const ControlAddress& address, const HttpRequest& request,
-                        std::chrono::milliseconds silence) {
-    Exchange call(silence);
-    if (const auto fault = call.connect(address)) return *fault;
+                        std::chrono::milliseconds stall_timeout) {
+    Exchange call(stall_timeout);
+    if (const auto error = call.connect(address)) return *error;
     const std::string text = encode(address, request);
-    if (const auto fault = call.send(text)) return *fault;
+    if (const auto error = call.send(text)) return *error;
     return call.receive();
 }
 
--- a/src/program/http_exchange.h
+++ b/src/program/http_exchange.h
@@ -1,5 +1,5 @@
-// One HTTP call to one address on a connection of its own, blocking and bounded in time. Owns the connection
-// for as long as the call lasts. It never repeats a call and follows no redirect.
+// One HTTP request to one address, on a connection of its own. Blocking, with a bound on the time without
+// progress. Repeats nothing and follows no redirect.
 #pragma once
 
 #include <chrono>
@@ -12,36 +12,38 @@
 
 struct HttpRequest {
     std::string method;
-    std::string target;      // path, with the query
-    std::string if_match{};  // empty: not sent
-    std::string body{};      // JSON; empty: not sent
+    std::string target;      // path and query
+    std::string if_match{};  // value of If-Match; header omitted if empty
+    std::string body{};      // JSON; omitted if empty
 };
 
 struct HttpResponse {
     int status = 0;
-    std::string location{};  // of a redirect
+    std::string location{};  // value of Location, for redirects
     std::string body{};
 };
 
-enum class ExchangeFault {
-    unknown_host,   // the name has no address; nothing was sent
-    not_connected,  // refused or unreachable; nothing was sent
-    silent,         // nothing came for too long; the call may have been carried out
-    broken,         // the connection ended, or what came is no answer; the same
+// Why a request got no response.
+enum class ExchangeError {
+    unknown_host,     // the host name has no address; nothing was sent
+    not_connected,    // connection refused or host unreachable; nothing was sent
+    timed_out,        // no progress for too long; the request may have been executed
+    connection_lost,  // connection closed, or an invalid response; the request may have been executed
 };
 
-// Whether the call may have reached the other side.
-constexpr bool may_have_arrived(ExchangeFault fault) {
-    return fault == ExchangeFault::silent || fault == ExchangeFault::broken;
+// Whether the server may have received and executed the request.
+constexpr bool may_have_arrived(ExchangeError error) {
+    return error == ExchangeError::timed_out || error == ExchangeError::connection_lost;
 }
 
-std::string_view to_string(ExchangeFault fault);
+// The error in words, for a person to read.
+std::string_view to_string(ExchangeError error);
 
-using ExchangeResult = std::variant<HttpResponse, ExchangeFault>;
+using ExchangeResult = std::variant<HttpResponse, ExchangeError>;
 
-// `silence`: the longest without any progress: to connect, to send the whole request, and between parts of
-// the answer.
+// Sends the request and waits for the response. `stall_timeout` bounds each step: connecting, sending the
+// whole request, and the wait for each further part of the response.
 ExchangeResult exchange(const ControlAddress& address, const HttpRequest& request,
-                        std::chrono::milliseconds silence);
+                        std::chrono::milliseconds stall_timeout);
 
 }  // namespace dewweir::program
--- a/src/program/json_text.h
+++ b/src/program/json_text.h
@@ -1,4 +1,4 @@
-// Writes JSON objects for `--json`. Pure.
+// Builds the JSON output of commands called with `--json`.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -10,6 +10,7 @@
 
 namespace dewweir::program {
 
+// Writer of one JSON object. Calls must be in document order; every begin needs its end.
 class JsonText {
   public:
     void begin_object() { writer_.StartObject(); }
@@ -36,7 +37,7 @@
         writer_.Key(key);
         writer_.Bool(value);
     }
-    // One line.
+    // The JSON text as one line, ending with a newline.
     std::string line() const { return std::string(buffer_.GetString()) + "\n"; }
 
   private:
--- a/src/program/members.cpp
+++ b/src/program/members.cpp
@@ -1,5 +1,5 @@
-// `dewweir members`: every process of the system as the leader knows it, or, without a leader, as another
-// control plane does.
+// `dewweir members`: lists all gateways and control planes as the leader knows them or, without a leader, as
+// the most current control plane knows them.
 #include "program/command.h"
 #include "program/fleet_status.h"
 #include "program/json_text.h"
@@ -30,7 +30,7 @@
     command.out << json.line();
 }
 
-// Only gateways take clients, so only they are ready or not.
+// Only gateways serve clients, so readiness is shown for them alone.
 std::string readiness(const MemberStatus& member) {
     if (member.role != "gateway") return {};
     return member.ready ? "yes" : "no";
@@ -51,7 +51,7 @@
     ControlClient client = command.client();
     const FleetStatus fleet = read_fleet_status(client);
     if (auto failure = unreachable_failure(fleet)) return *failure;
-    const Status& status = *fleet.best()->status;
+    const Status& status = *fleet.most_current()->status;
     if (command.arguments.json) {
         print_json(command, status);
     } else {
--- a/src/program/roles.cpp
+++ b/src/program/roles.cpp
@@ -21,7 +21,8 @@
 constexpr std::string_view gateway_role = "gateway";
 constexpr std::string_view control_plane_role = "control-plane";
 
-int start(const std::string& role, const std::string& path) {
+// Reads the settings file and runs the process of that role; returns its exit code.
+int start_role(const std::string& role, const std::string& path) {
     const FileResult file = read_file(path);
     if (const auto* const failure = std::get_if<Failure>(&file)) {
         const std::string advice = std::string("name the settings file in ") + settings_variable;
@@ -56,9 +57,9 @@
         TCLAP::ValueArg<std::string> file("s", "settings", "path of the settings file", false,
                                           from_environment ? from_environment : "", "FILE", line);
         line.parse(argc, argv);
-        return start(role.getValue(), file.getValue());
-    } catch (const TCLAP::ArgException& fault) {
-        std::cerr << "dewweir: " << fault.argId() << ": " << fault.error() << "\n";
+        return start_role(role.getValue(), file.getValue());
+    } catch (const TCLAP::ArgException& error) {
+        std::cerr << "dewweir: " << error.argId() << ": " << error.error() << "\n";
         return number_of(ExitCode::usage);
     }
 }
--- a/src/program/roles.h
+++ b/src/program/roles.h
@@ -1,13 +1,13 @@
-// The processes that the platform runs: `dewweir gateway` and `dewweir control-plane`.
+// Entry points of the long-running processes: `dewweir gateway` and `dewweir control-plane`.
 #pragma once
 
 namespace dewweir::program {
 
-// Whether the command line is one of the platform's: it begins with a role, or with the settings file's
-// option.
+// Whether the command line starts a long-running process: its first word is a role or the option for the
+// settings file.
 bool names_role(int argc, const char* const* argv);
 
-// Serves until it is stopped; returns the exit code.
+// Runs the process until it is stopped; returns its exit code.
 int run_role(int argc, const char* const* argv);
 
 }  // namespace dewweir::program
--- a/src/program/settings_commands.cpp
+++ b/src/program/settings_commands.cpp
@@ -1,5 +1,5 @@
-// `dewweir explain-settings` and `dewweir check-settings FILE`: the settings file that the platform gives a
-// process.
+// `dewweir explain-settings` describes all keys of a settings file; `dewweir check-settings FILE` validates
+// one.
 #include "program/command.h"
 #include "program/files.h"
 #include "program/json_text.h"
--- a/src/program/status.cpp
+++ b/src/program/status.cpp
@@ -1,4 +1,5 @@
-// `dewweir status`: every control plane, who leads, and the state of the whole as the leader knows it.
+// `dewweir status`: shows every control plane, which one leads, and the state of the system as the most
+// current control plane knows it.
 #include <algorithm>
 
 #include "program/command.h"
@@ -34,34 +35,35 @@
 
 std::string role_of(const Status& status) { return status.leads ? "leader" : "follower"; }
 
-void write_control_plane(JsonText& json, const ControlPlaneStatus& one) {
+void write_control_plane(JsonText& json, const ControlPlaneStatus& control_plane) {
     json.begin_object();
-    json.text("address", to_string(one.address));
-    json.flag("answers", one.status.has_value());
-    if (!one.status) {
-        json.text("fault", one.fault);
+    json.text("address", to_string(control_plane.address));
+    json.flag("answers", control_plane.status.has_value());
+    if (!control_plane.status) {
+        json.text("fault", control_plane.error);
         return json.end_object();
     }
-    json.text("node", one.status->node);
-    json.text("role", role_of(*one.status));
-    json.number("term", one.status->term);
-    json.number("commit_index", one.status->commit_index);
-    json.number("applied_index", one.status->applied_index);
-    json.text("configuration", one.status->configuration);
-    if (one.status->staleness_ms) json.number("staleness_ms", *one.status->staleness_ms);
-    json.text("disk", one.status->disk);
+    json.text("node", control_plane.status->node);
+    json.text("role", role_of(*control_plane.status));
+    json.number("term", control_plane.status->term);
+    json.number("commit_index", control_plane.status->commit_index);
+    json.number("applied_index", control_plane.status->applied_index);
+    json.text("configuration", control_plane.status->configuration);
+    if (control_plane.status->staleness_ms) json.number("staleness_ms", *control_plane.status->staleness_ms);
+    json.text("disk", control_plane.status->disk);
     json.end_object();
 }
 
 void print_json(const Command& command, const FleetStatus& fleet) {
-    const Status& status = *fleet.best()->status;
+    const Status& status = *fleet.most_current()->status;
     const MemberCounts counts = count_members(status);
     JsonText json;
     json.begin_object();
     json.text("told_by", status.node);
     json.flag("has_leader", fleet.has_leader());
     json.begin_list("control_planes");
-    for (const ControlPlaneStatus& one : fleet.control_planes) write_control_plane(json, one);
+    for (const ControlPlaneStatus& control_plane : fleet.control_planes)
+        write_control_plane(json, control_plane);
     json.end_list();
     json.begin_list("replicas");
     for (const ReplicaStatus& replica : status.replicas) {
@@ -98,15 +100,16 @@
 void print_control_planes(const Command& command, const FleetStatus& fleet) {
     TextTable table(
         {"CONTROL PLANE", "NODE", "ROLE", "TERM", "COMMITTED", "APPLIED", "CONFIGURATION", "AGE", "DISK"});
-    for (const ControlPlaneStatus& one : fleet.control_planes) {
-        if (!one.status) {
-            table.add({to_string(one.address), "", one.fault});
+    for (const ControlPlaneStatus& control_plane : fleet.control_planes) {
+        if (!control_plane.status) {
+            table.add({to_string(control_plane.address), "", control_plane.error});
             continue;
         }
-        table.add({to_string(one.address), one.status->node, role_of(*one.status),
-                   std::to_string(one.status->term), std::to_string(one.status->commit_index),
-                   std::to_string(one.status->applied_index), one.status->configuration,
-                   milliseconds_text(one.status->staleness_ms), one.status->disk});
+        table.add({to_string(control_plane.address), control_plane.status->node,
+                   role_of(*control_plane.status), std::to_string(control_plane.status->term),
+                   std::to_string(control_plane.status->commit_index),
+                   std::to_string(control_plane.status->applied_index), control_plane.status->configuration,
+                   milliseconds_text(control_plane.status->staleness_ms), control_plane.status->disk});
     }
     command.out << table.text();
 }
@@ -127,7 +130,7 @@
 }
 
 void print(const Command& command, const FleetStatus& fleet) {
-    const Status& status = *fleet.best()->status;
+    const Status& status = *fleet.most_current()->status;
     const MemberCounts counts = count_members(status);
     print_control_planes(command, fleet);
     print_replicas(command, status);
--- a/src/program/text_table.cpp
+++ b/src/program/text_table.cpp
@@ -5,9 +5,9 @@
 namespace dewweir::program {
 namespace {
 
-constexpr std::size_t gap = 2;
+constexpr std::size_t column_gap = 2;  // spaces
 
-std::string shown(const std::string& cell) { return cell.empty() ? "-" : cell; }
+std::string cell_text(const std::string& cell) { return cell.empty() ? "-" : cell; }
 
 }  // namespace
 
@@ -16,7 +16,7 @@
     for (const std::vector<std::string>& row : rows_) {
         widths.resize(std::max(widths.size(), row.size()));
         for (std::size_t column = 0; column < row.size(); ++column) {
-            widths[column] = std::max(widths[column], shown(row[column]).size());
+            widths[column] = std::max(widths[column], cell_text(row[column]).size());
         }
     }
     return widths;
@@ -28,9 +28,9 @@
     for (const std::vector<std::string>& row : rows_) {
         std::string line;
         for (std::size_t column = 0; column < row.size(); ++column) {
-            line += shown(row[column]);
+            line += cell_text(row[column]);
             if (column + 1 == row.size()) break;
-            line.append(width[column] - shown(row[column]).size() + gap, ' ');
+            line.append(width[column] - cell_text(row[column]).size() + column_gap, ' ');
         }
         text += line + "\n";
     }
--- a/src/program/text_table.h
+++ b/src/program/text_table.h
@@ -1,4 +1,4 @@
-// A table of text with aligned columns, for people. Pure.
+// Text table with left-aligned columns, for the terminal.
 #pragma once
 
 #include <string>
@@ -10,8 +10,9 @@
   public:
     explicit TextTable(std::vector<std::string> header) : rows_{std::move(header)} {}
 
-    // An empty cell is shown as "-".
+    // Appends a row. An empty cell is printed as "-".
     void add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
+    // The table, the header first, one line a row.
     std::string text() const;
 
   private:
--- a/tests/command_line/arguments.cpp
+++ b/tests/command_line/arguments.cpp
@@ -1,4 +1,4 @@
-// The command line: what is read out of it, and what is refused with which advice.
+// Parsing of the command line: the resulting arguments, and the errors for invalid command lines.
 #include "program/arguments.h"
 
 #include <catch2/catch.hpp>
@@ -7,22 +7,23 @@
 namespace dewweir::program {
 namespace {
 
-const Environment none{};
+const Environment empty_environment{};
 
-Arguments accepted(const std::vector<std::string>& words, const Environment& environment = none) {
+Arguments accepted(const std::vector<std::string>& words,
+                   const Environment& environment = empty_environment) {
     const ArgumentResult result = parse_arguments(words, environment);
     INFO((std::holds_alternative<Failure>(result) ? std::get<Failure>(result).reason : std::string()));
     REQUIRE(std::holds_alternative<Arguments>(result));
     return std::get<Arguments>(result);
 }
 
-Failure refused(const std::vector<std::string>& words, const Environment& environment = none) {
+Failure rejected(const std::vector<std::string>& words, const Environment& environment = empty_environment) {
     const ArgumentResult result = parse_arguments(words, environment);
     REQUIRE(std::holds_alternative<Failure>(result));
     return std::get<Failure>(result);
 }
 
-TEST_CASE("options may stand anywhere, and --control goes before the environment") {
+TEST_CASE("options may appear anywhere, and --control overrides the environment") {
     const Environment environment{"10.0.0.9:1"};
     const Arguments put = accepted({"config", "--control", "10.0.0.4:8080,core.example:81", "put", "new.json",
                                     "--if-match", "0000000C", "--json", "--timeout", "1.5s"},
@@ -41,7 +42,7 @@
     CHECK(accepted({"evacuate", "north-1", "--undo"}, environment).undo);
 }
 
-TEST_CASE("commands that call nobody need no control plane") {
+TEST_CASE("commands that call no control plane need no address of one") {
     CHECK(accepted({"config", "check", "a.json"}).command == CommandName::config_check);
     CHECK(accepted({"explain-settings"}).command == CommandName::explain_settings);
     CHECK(accepted({"check-settings", "a.conf"}).command == CommandName::check_settings);
@@ -50,13 +51,13 @@
     CHECK(accepted({"--version"}).command == CommandName::version);
 }
 
-TEST_CASE("a wrong command line is refused with what is wrong") {
+TEST_CASE("an invalid command line is rejected with the reason") {
     const Environment environment{"10.0.0.9:1"};
-    struct Wrong {
+    struct InvalidCommand {
         std::vector<std::string> words;
         std::string reason;
     };
-    const std::vector<Wrong> all = {
+    const std::vector<InvalidCommand> invalid_commands = {
         {{}, "no command is given"},
         {{"stats"}, "no command is named stats"},
         {{"config"}, "config alone is no command"},
@@ -76,16 +77,16 @@
         {{"status", "--control", "10.0.0.4:1,,"}, "--control:  is no address"},
         {{"status", "--control", "10.0.0.4:65536"}, "--control: 10.0.0.4:65536 is no address"},
     };
-    for (const Wrong& wrong : all) {
-        const Failure failure = refused(wrong.words, environment);
-        CHECK(failure.reason == wrong.reason);
+    for (const InvalidCommand& invalid : invalid_commands) {
+        const Failure failure = rejected(invalid.words, environment);
+        CHECK(failure.reason == invalid.reason);
         CHECK(failure.code == ExitCode::usage);
     }
-    CHECK(refused({"status"}).reason == "no control plane is named");
-    CHECK(refused({"status", "--colour"}).code == ExitCode::usage);
+    CHECK(rejected({"status"}).reason == "no control plane is named");
+    CHECK(rejected({"status", "--colour"}).code == ExitCode::usage);
 }
 
-TEST_CASE("every exit code has a number of its own and says what to do") {
+TEST_CASE("every exit code has a distinct number and advice") {
     std::set<int> numbers;
     for (const ExitCodeRow& row : exit_code_table) {
         numbers.insert(number_of(row.code));
@@ -95,8 +96,8 @@
     CHECK(numbers.size() == exit_code_table.size());
 }
 
-TEST_CASE("a failure without advice of its own takes that of its exit code") {
-    const Failure failure{ExitCode::unclear, "no \"clear\" answer", {}};
+TEST_CASE("a failure without its own advice shows that of its exit code") {
+    const Failure failure{ExitCode::outcome_unknown, "no \"clear\" answer", {}};
     CHECK(describe_failure(failure, false) ==
           "dewweir: no \"clear\" answer\n  what to do: repeat the same command: repeating is safe\n");
     CHECK(describe_failure(failure, true) ==
--- a/tests/command_line/configuration_diff.cpp
+++ b/tests/command_line/configuration_diff.cpp
@@ -1,4 +1,4 @@
-// What `dewweir config diff` finds, and what it must never show.
+// The differences that `dewweir config diff` finds. API keys must never appear in them.
 #include "program/configuration_diff.h"
 
 #include <catch2/catch.hpp>
@@ -13,23 +13,23 @@
     {"name":"gone","deadline":"3s"}],
     "tenants":[{"name":"acme","api_keys":["secret-one"]}]})";
 
-Differences found(const std::string& after) {
+Differences differences_to(const std::string& after) {
     const auto differences = compare_configurations(before, after);
     REQUIRE(differences);
     return *differences;
 }
 
-TEST_CASE("named elements are matched whatever their order") {
-    CHECK(found(before).empty());
-    CHECK(found(R"({"tenants":[{"api_keys":["secret-one"],"name":"acme"}],"routes":[
+TEST_CASE("named elements are matched regardless of their order") {
+    CHECK(differences_to(before).empty());
+    CHECK(differences_to(R"({"tenants":[{"api_keys":["secret-one"],"name":"acme"}],"routes":[
         {"name":"gone","deadline":"3s"},
         {"name":"read","weighted_backends":[{"backend":"b","weight":2},{"weight":1,"backend":"a"}],"deadline":"3s"}],
         "epoch":"00000003"})")
               .empty());
 }
 
-TEST_CASE("what was added, removed and changed is told by its place") {
-    const Differences differences = found(R"({"epoch":"00000004","routes":[
+TEST_CASE("additions, removals and changes are reported with their paths") {
+    const Differences differences = differences_to(R"({"epoch":"00000004","routes":[
         {"name":"read","deadline":"3s","weighted_backends":[{"backend":"a","weight":1},{"backend":"b","weight":5}]},
         {"name":"new","deadline":"1s"}],
         "tenants":[{"name":"acme","api_keys":["secret-one","secret-two"]}]})");
@@ -42,7 +42,7 @@
                          });
 }
 
-TEST_CASE("no shape of a configuration makes it show a key") {
+TEST_CASE("API keys are not shown, whatever the structure of the configurations") {
     const std::vector<std::string> others = {
         R"({})",
         R"({"tenants":null})",
@@ -55,7 +55,7 @@
         R"({"tenants":[["secret-two"]]})",
     };
     for (const std::string& other : others) {
-        Differences all = found(other);
+        Differences all = differences_to(other);
         const auto reversed = compare_configurations(other, before);
         REQUIRE(reversed);
         all.insert(all.end(), reversed->begin(), reversed->end());
@@ -67,7 +67,7 @@
     }
 }
 
-TEST_CASE("a text that is no JSON is not compared") { CHECK_FALSE(compare_configurations("{", before)); }
+TEST_CASE("a text that is not JSON is not compared") { CHECK_FALSE(compare_configurations("{", before)); }
 
 }  // namespace
 }  // namespace dewweir::program
--- a/tests/program/commands.py
+++ b/tests/program/commands.py
@@ -1,28 +1,28 @@
-"""Runs the operator's command line against the control planes of a test fleet."""
+"""Runs the operator's commands against the control planes of a test fleet."""
 
 import asyncio
 import json
 import os
 from dataclasses import dataclass
 
-COMMAND_BOUND_S = 20.0
+COMMAND_TIMEOUT_S = 20.0
 
 
 @dataclass
 class Outcome:
-    """How a command ended."""
+    """Exit code and output of a command."""
 
     code: int
     out: str
     error: str
 
     def json(self):
-        """What it printed, read as JSON."""
+        """Its standard output, parsed as JSON."""
         return json.loads(self.out)
 
 
 class Commands:
-    """The program with the addresses of the control planes in its environment, run in a folder of its own."""
+    """Runs the program in a folder, with the addresses of the control planes in its environment."""
 
     def __init__(self, program, controls, folder):
         self.program = os.path.abspath(program)
@@ -34,14 +34,14 @@
         }
 
     async def run(self, *words):
-        """Runs one command; returns its Outcome."""
+        """Runs one command with these arguments; returns its Outcome."""
         process = await asyncio.create_subprocess_exec(
             self.program, *words, **self._streams(asyncio.subprocess.PIPE)
         )
         return await self._finish(process)
 
     async def shell(self, line):
-        """Runs a line of shell, where the program is `dewweir`, with its errors among its output."""
+        """Runs a shell command line that calls the program as `dewweir`; stderr is merged into the output."""
         process = await asyncio.create_subprocess_shell(line, **self._streams(asyncio.subprocess.STDOUT))
         return await self._finish(process)
 
@@ -56,7 +56,7 @@
 
     async def _finish(self, process):
         try:
-            out, error = await asyncio.wait_for(process.communicate(), COMMAND_BOUND_S)
+            out, error = await asyncio.wait_for(process.communicate(), COMMAND_TIMEOUT_S)
         except asyncio.TimeoutError:
             process.kill()
             await process.wait()
@@ -65,7 +65,7 @@
 
 
 async def leader_of(commands, fleet):
-    """The process of the fleet that leads, or None."""
+    """The control plane process that is the leader, or None."""
     outcome = await commands.run("status", "--json")
     if outcome.code != 0:
         return None
