--- a/src/explain/bounds.h
+++ b/src/explain/bounds.h
@@ -1,5 +1,5 @@
-// What the bounds of the rules come to for each tenant and service of a configuration, as a table for
-// operators. Owns its wording; must never read a file, a socket or a clock.
+// Explains to operators, as text tables, which limits follow from the bounds of the platform's invariants for
+// each tenant and service of a configuration. Owns the wording; reads no file, socket or clock.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace dewweir::explain {
 
-// The table. `gateways`: how many share the quotas, 1 at least. docs/limits-over-all-gateways.md derives its
-// figures.
+// Returns the tables. `gateways`: number of gateways that share the quotas; values below 1 count as 1.
+// docs/limits-over-all-gateways.md derives the figures.
 std::string explain_bounds(const settings::Settings& settings,
                            const configuration::Configuration& configuration, int gateways);
 
--- a/tests/explain/bounds.cpp
+++ b/tests/explain/bounds.cpp
@@ -1,4 +1,4 @@
-// The figures of the tables, worked out by hand.
+// Compares the tables of explain-bounds with values calculated by hand.
 #include "explain/bounds.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 
 namespace {
 
-settings::Settings rules_of_a_site() {
+settings::Settings example_settings() {
     settings::Settings settings;
     settings.invariants.bounds.quota_window = std::chrono::seconds(5);
     settings.invariants.bounds.quota_overshoot = 0.1;
@@ -23,16 +23,16 @@
 }
 
 configuration::Tenant tenant(const std::string& name, double rate_per_s, double burst) {
-    configuration::Tenant made;
-    made.name = name;
-    made.rate_per_s = rate_per_s;
-    made.burst = burst;
-    return made;
+    configuration::Tenant result;
+    result.name = name;
+    result.rate_per_s = rate_per_s;
+    result.burst = burst;
+    return result;
 }
 
 }  // namespace
 
-TEST_CASE("bounds of tenants and services as a table") {
+TEST_CASE("the tables show the bounds of tenants, services, retries and freshness") {
     configuration::Configuration configuration;
     configuration.tenants = {tenant("alfa", 60, 60), tenant("of-no-limit", 0, 0)};
     configuration.services.resize(3);
@@ -41,11 +41,12 @@
     configuration.services[1].name = "fast";
     configuration.services[1].cold_per_s = 13;
     configuration.services[2].name = "unknown";
-    // A search for a control plane: 2 x 200 + 3 x 150 + 200 = 1050 ms of the 2500.
-    // alfa: (60 x 5 + 60) x 1.1 + 20 = 416; of it 0.93 = 386.9; window (386.9 - 300) / 60 = 1.448 s with 60
-    // x 1.448; a gateway of ten has a tenth of both, so that one cut off adds 8.7 + 6 x 5.
-    // Further attempts: 0.9 of 0.2 and of 62, a tenth of which is one gateway's.
-    CHECK(explain::explain_bounds(rules_of_a_site(), configuration, 10) ==
+    // Freshness: the search for a control plane takes 2 x 200 + 3 x 150 + 200 = 1050 ms of the 2500.
+    // Tenant alfa: the bound is (60 x 5 + 60) x 1.1 + 20 = 416 requests, of which 0.93 = 386.9 are used. The
+    // window is (386.9 - 300) / 60 = 1.448 s and admits 60 x 1.448 requests. One gateway of ten holds a tenth
+    // of both, so a gateway that is cut off adds 8.7 + 6 x 5.
+    // Retries: 0.9 of the ratio 0.2 and of the slack 62; one gateway has a tenth of the slack.
+    CHECK(explain::explain_bounds(example_settings(), configuration, 10) ==
           "Quotas over 10 gateways, requests in any 5.0 s:\n"
           "tenant       window s  in window  the rule     worst   one cut    bucket  bucket/s\n"
           "alfa             1.45       86.9     416.0     386.9     425.6       8.7      6.00\n"
