--- a/src/control/instance_list.cpp
+++ b/src/control/instance_list.cpp
@@ -54,7 +54,7 @@
 
 std::optional<InstancePage> parse_instance_page(std::string_view json) {
     rapidjson::Document document;
-    // Not by recursion: a page nested deep enough would use up the stack.
+    // Iterative parsing: with recursion a deeply nested page would overflow the stack.
     document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
     if (document.HasParseError() || !document.IsObject()) return std::nullopt;
     const Value* const zones = rapidjson::Pointer("/instances").Get(document);
--- a/src/control/instance_list.h
+++ b/src/control/instance_list.h
@@ -1,4 +1,4 @@
-// The platform's list of instances: reads its pages. Pure.
+// Parses the JSON pages in which the platform lists the instances (upstream hosts) of all services. Pure.
 #pragma once
 
 #include <map>
@@ -10,14 +10,17 @@
 
 namespace dewweir::control {
 
-using Instances = std::map<std::string, wire::Instance>;  // by id
+using Instances = std::map<std::string, wire::Instance>;  // by instance id
 
+// One page of the list.
 struct InstancePage {
     Instances instances;
-    std::optional<std::string> next_token;  // of the page that follows
+    std::optional<std::string> next_token;  // of the following page; absent or empty: this is the last page
 };
 
-// Nothing where the page can't be read whole.
+// Returns nothing unless the whole page is valid. An instance needs `id`, `backend` and `address`. A missing
+// or malformed capacity or cold time becomes 0, and any state other than "ready" counts as draining; a
+// capacity is truncated to an integer and clamped to the range of uint32.
 std::optional<InstancePage> parse_instance_page(std::string_view json);
 
 }  // namespace dewweir::control
--- a/src/control/instance_poller.h
+++ b/src/control/instance_poller.h
@@ -1,7 +1,8 @@
-// Reads the platform's whole list at an interval. A list of one page is read by one call; a longer one, and
-// the first one, zone by zone, all at once, so that a reading takes little longer than its largest zone's
-// pages. Owns the connections to the platform. It must never run in more than one process at a time for long:
-// calls are priced and limited for all together.
+// Polls the platform's list of instances. A list of one page is read with one request. A longer list, and the
+// first one after a start, is read zone by zone in parallel, so that a reading takes little longer than the
+// pages of the largest zone. Owns the connections to the platform. At most one process may poll, except for a
+// short overlap after a change of leader: the platform's request rate limit is shared by all processes, and
+// requests are charged.
 #pragma once
 
 #include <functional>
@@ -14,58 +15,62 @@
 
 namespace dewweir::control {
 
-// A reading of the whole list.
+// The result of reading the complete list once.
 struct InstanceReading {
     Instances instances{};
-    runtime::Time begun_at = 0;  // the list shows at least what the platform showed then
-    unsigned pages = 0;          // how many calls it took
+    runtime::Time started_at = 0;  // the list is at least as new as the platform's state at this time
+    unsigned pages = 0;            // requests that the reading took
 };
 
 struct PollerOptions {
-    std::set<std::string> zones;  // that hosts may be in
-    runtime::Time interval = 0;   // between the beginnings of two readings
-    double calls_per_s = 0;       // that the platform takes from all processes; a part of them is used
+    std::set<std::string> zones;  // configured zones that may contain instances
+    runtime::Time interval = 0;   // between the starts of two readings
+    // The platform's request rate limit for all processes together, of which a fraction is used; 0: no limit.
+    double calls_per_s = 0;
 };
 
 class InstancePoller {
   public:
-    using Read = std::function<void(const InstanceReading&)>;
-    using Failed = std::function<void()>;
+    using ReadingCallback = std::function<void(const InstanceReading&)>;
+    using FailureCallback = std::function<void()>;
 
+    // `on_reading` is called after every complete reading, `on_failure` after one in which any request
+    // failed.
     InstancePoller(runtime::EventLoop& loop, const asio::ip::tcp::endpoint& platform, PollerOptions options,
-                   Read read, Failed failed);
+                   ReadingCallback on_reading, FailureCallback on_failure);
 
-    // `known`: what this process has heard of the list; hosts may be in its zones too.
+    // Starts polling; does nothing while already running. `known` is the last list this process received; its
+    // zones are polled beside the configured ones.
     void start(const Instances& known);
     void stop();
     void set_zones(const std::set<std::string>& zones) { options_.zones = zones; }
 
   private:
-    std::vector<std::optional<std::string>> parts() const;
+    std::vector<std::optional<std::string>> zone_queries() const;
     PageWalk* idle_walk();
-    void begin();
-    void walked(PageWalkResult&& result);
-    void see_zones(const Instances& instances);
-    void whole();
-    void again_later();
-    runtime::Time interval() const;
+    void start_reading();
+    void walk_finished(PageWalkResult&& result);
+    void remember_zones(const Instances& instances);
+    void finish_reading();
+    void schedule_next_reading();
+    runtime::Time reading_interval() const;
 
     runtime::EventLoop& loop_;
     asio::ip::tcp::endpoint platform_;
     PollerOptions options_;
-    Read read_;
-    Failed failed_;
+    ReadingCallback on_reading_;
+    FailureCallback on_failure_;
     std::vector<std::unique_ptr<PageWalk>> walks_;
     runtime::Timer timer_;
     bool running_ = false;
-    std::uint64_t number_ = 0;     // of the reading under way, or of the last one
-    std::size_t outstanding_ = 0;  // walks of it
-    bool complete_ = true;         // all of its walks that have ended
+    std::uint64_t reading_id_ = 0;   // of the current or last reading; results of earlier ones are ignored
+    std::size_t pending_walks_ = 0;  // of the current reading
+    bool walks_complete_ = true;     // no finished walk of the current reading has failed
     InstanceReading reading_;
-    std::set<std::string> zones_seen_;
-    // Hosts in the last reading; 0: it failed; nothing: there was none since the start.
-    std::optional<std::size_t> listed_;
-    std::size_t page_size_ = 0;  // the largest page that another one followed; 0: not known
+    std::set<std::string> listed_zones_;  // zones of the instances in the last complete list
+    // Instances in the last reading; 0: it failed; nothing: none has finished since the start.
+    std::optional<std::size_t> last_listed_count_;
+    std::size_t page_size_ = 0;  // entries of the largest page that was followed by another; 0: not known
 };
 
 }  // namespace dewweir::control
--- a/src/control/member_table.cpp
+++ b/src/control/member_table.cpp
@@ -13,32 +13,33 @@
     }
     for (auto& [node, entry] : entries_) {
         if (entry.reporter == reporter && !reported.contains(node))
-            unreport(now, entry, options_.reconnect_grace);
+            start_expiry(now, entry, options_.reconnect_grace);
     }
 }
 
 void MemberTable::reporter_lost(Clock::time_point now, const std::string& reporter) {
     for (auto& [node, entry] : entries_) {
-        if (entry.reporter == reporter) unreport(now, entry, options_.reporter_grace);
+        if (entry.reporter == reporter) start_expiry(now, entry, options_.reporter_grace);
     }
 }
 
-void MemberTable::unreport(Clock::time_point now, Entry& entry, std::chrono::milliseconds grace) {
+void MemberTable::start_expiry(Clock::time_point now, Entry& entry, std::chrono::milliseconds grace) {
     entry.reporter.clear();
     entry.expires_at = now + grace;
 }
 
-void MemberTable::adopt(Clock::time_point now, const std::vector<wire::Member>& members, bool all_known) {
-    if (!all_known) whole_at_ = now + options_.adoption_grace;
+void MemberTable::inherit(Clock::time_point now, const std::vector<wire::Member>& members,
+                          bool known_complete) {
+    if (!known_complete) complete_at_ = now + options_.inherited_grace;
     for (const wire::Member& member : members) {
-        entries_.try_emplace(member.node, Entry{member, {}, now + options_.adoption_grace});
+        entries_.try_emplace(member.node, Entry{member, {}, now + options_.inherited_grace});
     }
 }
 
-bool MemberTable::whole(Clock::time_point now) const { return !whole_at_ || *whole_at_ <= now; }
+bool MemberTable::complete(Clock::time_point now) const { return !complete_at_ || *complete_at_ <= now; }
 
 void MemberTable::expire(Clock::time_point now) {
-    if (whole(now)) whole_at_.reset();
+    if (complete(now)) complete_at_.reset();
     std::erase_if(entries_, [&](const auto& item) {
         const std::optional<Clock::time_point>& expires_at = item.second.expires_at;
         return expires_at && *expires_at <= now;
@@ -46,7 +47,7 @@
 }
 
 std::optional<Clock::time_point> MemberTable::next_expiry() const {
-    std::optional<Clock::time_point> next = whole_at_;
+    std::optional<Clock::time_point> next = complete_at_;
     for (const auto& [node, entry] : entries_) {
         if (entry.expires_at && (!next || *entry.expires_at < *next)) next = entry.expires_at;
     }
--- a/src/control/page_walk.cpp
+++ b/src/control/page_walk.cpp
@@ -7,10 +7,10 @@
 namespace dewweir::control {
 namespace {
 
-constexpr std::size_t most_page_bytes = 4u << 20;
-constexpr runtime::Time call_limit = runtime::tenths_per_second;
+constexpr std::size_t max_page_bytes = 4u << 20;
+constexpr runtime::Time request_timeout = runtime::tenths_per_second;
 
-// RFC 3986: what is not unreserved is escaped.
+// Escapes every character outside the unreserved set of RFC 3986.
 std::string percent_encoded(const std::string& text) {
     constexpr std::string_view unreserved_marks = "-._~";
     constexpr std::string_view digits = "0123456789ABCDEF";
@@ -37,34 +37,34 @@
 }
 
 PageWalk::PageWalk(runtime::EventLoop& loop, const asio::ip::tcp::endpoint& platform)
-    : client_(loop, platform, most_page_bytes) {}
+    : client_(loop, platform, max_page_bytes) {}
 
 void PageWalk::start(const std::optional<std::string>& zone, Done done) {
     zone_ = zone;
     result_ = {};
     done_ = std::move(done);
-    ask({});
+    request_page({});
 }
 
-void PageWalk::ask(const std::string& page_token) {
-    client_.get(page_target(zone_, page_token), call_limit,
-                [this](const api::CallResult& result) { answered(result); });
+void PageWalk::request_page(const std::string& page_token) {
+    client_.get(page_target(zone_, page_token), request_timeout,
+                [this](const api::CallResult& result) { page_received(result); });
 }
 
-void PageWalk::answered(const api::CallResult& result) {
-    if (result.error != api::CallError::none || result.status != 200) return end(false);
+void PageWalk::page_received(const api::CallResult& result) {
+    if (result.error != api::CallError::none || result.status != 200) return finish(false);
     std::optional<InstancePage> page = parse_instance_page(result.body);
-    if (!page) return end(false);
+    if (!page) return finish(false);
     ++result_.pages;
     const std::size_t entries = page->instances.size();
-    // Where the list has changed since, the later page tells of it.
+    // An instance that is on two pages changed between the requests; the later page is current.
     for (auto& [id, instance] : page->instances) result_.instances[id] = std::move(instance);
-    if (!page->next_token || page->next_token->empty()) return end(true);
+    if (!page->next_token || page->next_token->empty()) return finish(true);
     result_.page_size = std::max(result_.page_size, entries);
-    ask(*page->next_token);
+    request_page(*page->next_token);
 }
 
-void PageWalk::end(bool complete) {
+void PageWalk::finish(bool complete) {
     result_.complete = complete;
     const Done done = std::exchange(done_, nullptr);
     done(std::move(result_));
--- a/src/control/page_walk.h
+++ b/src/control/page_walk.h
@@ -1,4 +1,5 @@
-// Reads the platform's list of one zone, or of all, page after page over one connection of its own.
+// Reads the platform's list of instances, of one zone or of all, page after page over a connection of its
+// own.
 #pragma once
 
 #include <functional>
@@ -11,27 +12,29 @@
 namespace dewweir::control {
 
 struct PageWalkResult {
-    bool complete = false;  // every page was read; else `instances` may lack any
+    bool complete = false;  // every page was read; otherwise `instances` may lack some
     Instances instances{};
-    unsigned pages = 0;
-    std::size_t page_size = 0;  // of the largest page that another one followed; 0: there was one page only
+    unsigned pages = 0;         // pages read
+    std::size_t page_size = 0;  // entries of the largest page that was followed by another; 0: none was
 };
 
+// One walk at a time. A walk ends early, as incomplete, when a page can't be fetched within a second or
+// parsed.
 class PageWalk {
   public:
     using Done = std::function<void(PageWalkResult&&)>;
 
     PageWalk(runtime::EventLoop& loop, const asio::ip::tcp::endpoint& platform);
 
-    // Without a zone: all of them. Must not be called while a walk is under way; `done` is called once,
-    // later.
+    // Without a zone all zones are read. Must not be called while busy. `done` is called exactly once, after
+    // this call has returned.
     void start(const std::optional<std::string>& zone, Done done);
     bool busy() const { return static_cast<bool>(done_); }
 
   private:
-    void ask(const std::string& page_token);
-    void answered(const api::CallResult& result);
-    void end(bool complete);
+    void request_page(const std::string& page_token);
+    void page_received(const api::CallResult& result);
+    void finish(bool complete);
 
     api::Client client_;
     std::optional<std::string> zone_;
@@ -39,7 +42,7 @@
     Done done_;
 };
 
-// Where a page of the list is asked for; a part that is empty is left out.
+// The HTTP request target of one page; an absent zone or empty page token is left out of the query.
 std::string page_target(const std::optional<std::string>& zone, const std::string& page_token);
 
 }  // namespace dewweir::control
--- a/src/control/state_freshness.cpp
+++ b/src/control/state_freshness.cpp
@@ -5,37 +5,38 @@
 namespace dewweir::control {
 namespace {
 
-// Older ones that were not answered never will be.
-constexpr std::size_t most_questions = 32;
+// Requests that have not been confirmed by the time this many later ones were sent never will be.
+constexpr std::size_t max_pending_requests = 32;
 
 }  // namespace
 
-void StateFreshness::asked(std::uint64_t token, FreshnessTime now) {
-    questions_.push_back({token, now});
-    if (questions_.size() > most_questions) questions_.pop_front();
+void StateFreshness::request_sent(std::uint64_t token, FreshnessTime now) {
+    requests_.push_back({token, now});
+    if (requests_.size() > max_pending_requests) requests_.pop_front();
 }
 
-void StateFreshness::answered(std::uint64_t token, std::uint64_t index) {
-    for (Question& question : questions_) {
-        if (question.token == token) question.index = index;
+void StateFreshness::request_confirmed(std::uint64_t token, std::uint64_t index) {
+    for (Request& request : requests_) {
+        if (request.token == token) request.index = index;
     }
-    settle();
+    update_in_sync_time();
 }
 
-void StateFreshness::applied(std::uint64_t index) {
+void StateFreshness::entries_applied(std::uint64_t index) {
     applied_ = index;
-    settle();
+    update_in_sync_time();
 }
 
-// The newest answered question whose index is applied proves the most; earlier ones prove nothing more.
-void StateFreshness::settle() {
-    const auto proves = [this](const Question& question) {
-        return question.index && *question.index <= applied_;
+// The newest confirmed request whose index has been applied gives the latest proof; it and all earlier
+// requests can then be dropped.
+void StateFreshness::update_in_sync_time() {
+    const auto proves = [this](const Request& request) {
+        return request.index && *request.index <= applied_;
     };
-    const auto newest = std::find_if(questions_.rbegin(), questions_.rend(), proves);
-    if (newest == questions_.rend()) return;
-    in_step_at_ = std::max(in_step_at_.value_or(newest->asked_at), newest->asked_at);
-    questions_.erase(questions_.begin(), newest.base());
+    const auto newest = std::find_if(requests_.rbegin(), requests_.rend(), proves);
+    if (newest == requests_.rend()) return;
+    in_sync_at_ = std::max(in_sync_at_.value_or(newest->sent_at), newest->sent_at);
+    requests_.erase(requests_.begin(), newest.base());
 }
 
 }  // namespace dewweir::control
--- a/src/control/state_freshness.h
+++ b/src/control/state_freshness.h
@@ -1,7 +1,8 @@
-// How old a control plane's state may be. Proof that it is in step with a majority is an answered question:
-// the leader, confirmed by a majority after the question was asked, tells up to where everything acknowledged
-// is, and that has been applied. Hearing a leader proves nothing: what was heard may be old, or entries may
-// not come through. Pure: times are handed in, steady, of this process alone.
+// Measures how stale a control plane's replicated state may be. The proof that it is in sync with a majority
+// is a confirmed read-index request: the leader, whose leadership a majority confirms after the request was
+// sent, answers with the index that covers everything acknowledged before, and the local state has applied
+// that index. Messages from a leader alone prove nothing: they may be old, or entries may be failing to
+// arrive. Pure: times are passed in, from this process's steady clock.
 #pragma once
 
 #include <cstdint>
@@ -10,30 +11,32 @@
 
 namespace dewweir::control {
 
-using FreshnessTime = std::int64_t;  // tenths of a millisecond, steady
+using FreshnessTime = std::int64_t;  // tenths of a millisecond on a steady clock
 
 class StateFreshness {
   public:
-    // The question `token` is asked now.
-    void asked(std::uint64_t token, FreshnessTime now);
-    // Its answer: everything that was acknowledged before it lies within the first `index` entries.
-    void answered(std::uint64_t token, std::uint64_t index);
-    // Entries up to `index` are applied.
-    void applied(std::uint64_t index);
-    // Since when something may be missing; nothing where it was never in step.
-    std::optional<FreshnessTime> in_step_at() const { return in_step_at_; }
+    // The request `token` is being sent now.
+    void request_sent(std::uint64_t token, FreshnessTime now);
+    // The request was answered: everything acknowledged before it was sent lies within the first `index`
+    // entries. Unknown tokens are ignored.
+    void request_confirmed(std::uint64_t token, std::uint64_t index);
+    // All entries up to `index` are applied.
+    void entries_applied(std::uint64_t index);
+    // The latest time up to which the state provably holds everything acknowledged; changes acknowledged
+    // later may be missing. Nothing until the first proof. Never goes back.
+    std::optional<FreshnessTime> in_sync_at() const { return in_sync_at_; }
 
   private:
-    struct Question {
+    struct Request {
         std::uint64_t token = 0;
-        FreshnessTime asked_at = 0;
-        std::optional<std::uint64_t> index{};
+        FreshnessTime sent_at = 0;
+        std::optional<std::uint64_t> index{};  // from the answer
     };
-    void settle();
+    void update_in_sync_time();
 
-    std::deque<Question> questions_;  // by time
+    std::deque<Request> requests_;  // in the order they were sent
     std::uint64_t applied_ = 0;
-    std::optional<FreshnessTime> in_step_at_;
+    std::optional<FreshnessTime> in_sync_at_;
 };
 
 }  // namespace dewweir::control
--- a/src/control_plane/consensus_links.cpp
+++ b/src/control_plane/consensus_links.cpp
@@ -6,20 +6,21 @@
 namespace dewweir::control_plane {
 namespace {
 
-constexpr std::size_t most_datagram_bytes = 1200;
-// A session to a replica that has said nothing for so long may hang in a cut link: a new one is opened.
-constexpr runtime::Time silence_of_link = 600 * runtime::tenths_per_millisecond;
+constexpr std::size_t max_datagram_bytes = 1200;  // of the encoded message body; larger ones use a session
+// A session whose replica has sent nothing for this long may be stuck on a broken connection; a new one is
+// opened.
+constexpr runtime::Time unresponsive_session_timeout = 600 * runtime::tenths_per_millisecond;
 
 }  // namespace
 
-ConsensusLinks::ConsensusLinks(runtime::EventLoop& loop, transport::Sessions& sessions, Received received,
-                               Joining joining)
+ConsensusLinks::ConsensusLinks(runtime::EventLoop& loop, transport::Sessions& sessions,
+                               MessageCallback on_message, JoinCallback on_join)
     : loop_(loop),
       sessions_(sessions),
-      received_(std::move(received)),
-      joining_(std::move(joining)),
+      on_message_(std::move(on_message)),
+      on_join_(std::move(on_join)),
       datagrams_(loop, [this](const asio::ip::udp::endpoint&, const wire::Message& message) {
-          received_datagram(message);
+          datagram_received(message);
       }) {}
 
 std::optional<std::string> ConsensusLinks::bind(const asio::ip::udp::endpoint& address) {
@@ -31,7 +32,7 @@
     if (!address) return;
     const wire::Message message = wire::wrap(envelope);
     const auto& wrapped = std::get<wire::ConsensusMessage>(message);
-    const bool small = wrapped.body.size() <= most_datagram_bytes;
+    const bool small = wrapped.body.size() <= max_datagram_bytes;
     if (small) return datagrams_.send(transport::udp_endpoint(*address), message);
     send_by_session(envelope.to.address, message);
 }
@@ -43,30 +44,31 @@
 
 void ConsensusLinks::send_by_session(const std::string& address, const wire::Message& message) {
     Link& link = links_[address];
-    const bool silent = loop_.now() - link.heard_at > silence_of_link;
-    if (link.session && silent) sessions_.close(std::exchange(link.session, 0));
+    const bool unresponsive = loop_.now() - link.last_contact > unresponsive_session_timeout;
+    if (link.session && unresponsive) sessions_.close(std::exchange(link.session, 0));
     if (!link.session) {
         const auto endpoint = transport::parse_tcp_endpoint(address);
         if (!endpoint) return;
-        link.session = sessions_.open(*endpoint, *this, distribution::connect_limit);
-        link.heard_at = loop_.now();
+        link.session = sessions_.open(*endpoint, *this, distribution::connect_timeout);
+        link.last_contact = loop_.now();
     }
     if (link.session) sessions_.send(link.session, message);
 }
 
-void ConsensusLinks::received_datagram(const wire::Message& message) {
-    if (const auto* const wrapped = std::get_if<wire::ConsensusMessage>(&message)) return take(*wrapped);
-    if (const auto* const join = std::get_if<wire::JoinRequest>(&message)) joining_(join->replica);
+void ConsensusLinks::datagram_received(const wire::Message& message) {
+    if (const auto* const wrapped = std::get_if<wire::ConsensusMessage>(&message))
+        return message_received(*wrapped);
+    if (const auto* const join = std::get_if<wire::JoinRequest>(&message)) on_join_(join->replica);
 }
 
-void ConsensusLinks::take(const wire::ConsensusMessage& message) {
-    links_[message.from.address].heard_at = loop_.now();
+void ConsensusLinks::message_received(const wire::ConsensusMessage& message) {
+    links_[message.from.address].last_contact = loop_.now();
     const std::optional<consensus::Envelope> envelope = wire::unwrap(message);
-    if (envelope) received_(*envelope);
+    if (envelope) on_message_(*envelope);
 }
 
 void ConsensusLinks::session_received(transport::SessionId, wire::Message&& message) {
-    if (const auto* const wrapped = std::get_if<wire::ConsensusMessage>(&message)) take(*wrapped);
+    if (const auto* const wrapped = std::get_if<wire::ConsensusMessage>(&message)) message_received(*wrapped);
 }
 
 void ConsensusLinks::session_closed(transport::SessionId session) {
--- a/src/control_plane/fleet_server.cpp
+++ b/src/control_plane/fleet_server.cpp
@@ -14,24 +14,24 @@
 
 namespace {
 
-// Where the platform doesn't tell its list, or the core is in trouble, nobody can know newer news: the age of
-// what is known then says nothing of how long news takes.
-constexpr runtime::Time longest_age_in_trouble = 1500 * runtime::tenths_per_millisecond;
+// Cap on the reported age of the list while the platform cannot be read or the control planes are out of
+// sync: nobody can know a newer list then, so the age says nothing about how long updates take to arrive.
+constexpr runtime::Time max_list_age_without_source = 1500 * runtime::tenths_per_millisecond;
 
 }  // namespace
 
 FleetServer::FleetServer(runtime::EventLoop& loop, transport::Sessions& sessions, const wire::Member& self,
-                         const ReplicatedLog& log, runtime::Time freshness_limit)
+                         const ReplicatedLog& log, runtime::Time max_staleness)
     : loop_(loop),
       sessions_(sessions),
       self_(self),
       log_(log),
-      freshness_limit_(freshness_limit),
+      max_staleness_(max_staleness),
       heartbeat_(loop),
       expiry_(loop),
       publication_(loop),
       reconnect_(loop) {
-    heartbeat_.start(heartbeat_interval, [this] { beat(); });
+    heartbeat_.start(heartbeat_interval, [this] { heartbeat_tick(); });
 }
 
 std::optional<std::string> FleetServer::listen(const asio::ip::tcp::endpoint& address) {
@@ -39,17 +39,17 @@
 }
 
 std::optional<std::string> FleetServer::leader_control() const {
-    if (log_.leads()) return self_.control;
+    if (log_.is_leader()) return self_.control;
     const std::optional<std::string> address = log_.leader_address();
     if (!address) return std::nullopt;
-    // Every control plane takes operators' calls at the same port.
+    // All control planes serve the operator API on the same port.
     const auto leader = settings::parse_endpoint(*address);
     const auto own = settings::parse_endpoint(self_.control);
     if (!leader || !own) return std::nullopt;
     return settings::to_string({leader->ip, own->port});
 }
 
-// ---- what this process publishes ----
+// ---- publishing ----
 
 void FleetServer::publish_state() {
     const control::StateMachine& state = log_.state();
@@ -60,22 +60,23 @@
     if (view_.evacuations().index != before) broadcast(evacuations);
 }
 
-void FleetServer::instances_read(const control::InstanceReading& reading) {
-    if (!log_.leads()) return;
+void FleetServer::instance_list_read(const control::InstanceReading& reading) {
+    if (!log_.is_leader()) return;
     const bool first = !list_as_of_;
-    list_as_of_ = reading.begun_at;
-    list_read_ = true;
+    list_as_of_ = reading.started_at;
+    last_list_read_succeeded_ = true;
     publish_instances(reading);
-    if (first) answer_stamps();
+    if (first) echo_stamps();
 }
 
 void FleetServer::publish_instances(const control::InstanceReading& reading) {
-    // A leader's first list is whole: others may hold what this process never knew.
-    const bool whole = view_.instances_revision().term != log_.term();
+    // A leader's first update replaces the whole list: others may hold instances that this process never
+    // knew.
+    const bool full_list = view_.instances_revision().term != log_.term();
     wire::InstancesUpdate update = distribution::instances_difference(
-        whole ? control::Instances() : view_.instances(), reading.instances);
-    update.whole = whole;
-    if (!whole && update.changed.empty() && update.gone.empty()) return;
+        full_list ? control::Instances() : view_.instances(), reading.instances);
+    update.whole = full_list;
+    if (!full_list && update.changed.empty() && update.gone.empty()) return;
     update.revision = next_revision();
     view_.apply(update);
     broadcast(update);
@@ -84,90 +85,93 @@
                   {"changed", static_cast<std::int64_t>(update.changed.size())},
                   {"gone", static_cast<std::int64_t>(update.gone.size())},
                   {"pages", static_cast<std::int64_t>(reading.pages)},
-                  {"reading_ms", static_cast<std::int64_t>((loop_.now() - reading.begun_at) /
+                  {"reading_ms", static_cast<std::int64_t>((loop_.now() - reading.started_at) /
                                                            runtime::tenths_per_millisecond)}});
 }
 
-wire::Revision FleetServer::next_revision() { return {log_.term(), ++published_}; }
+wire::Revision FleetServer::next_revision() { return {log_.term(), ++last_revision_number_}; }
 
 void FleetServer::broadcast(const wire::Message& message) {
     const std::string frame = wire::frame(message);
     for (const auto& [session, peer] : peers_) {
-        if (peer.greeted && !peer.awaits_view) sessions_.send_frame(session, frame);
+        if (peer.said_hello && !peer.awaits_view) sessions_.send_frame(session, frame);
     }
 }
 
-// ---- how old this process's view may be ----
+// ---- staleness of this process's view ----
 
 std::optional<runtime::Time> FleetServer::staleness() const {
-    const std::optional<runtime::Time> of_log = log_.staleness();
-    if (!of_log || log_.leads()) return of_log;
-    // Members and instances come from the leader's session alone, which can hang while the log goes on.
-    return std::max(*of_log, loop_.now() - leader_told_at_ - heartbeat_interval);
+    const std::optional<runtime::Time> log_staleness = log_.staleness();
+    if (!log_staleness || log_.is_leader()) return log_staleness;
+    // Members and instances arrive only over the session to the leader, which can stall while the log
+    // advances.
+    return std::max(*log_staleness, loop_.now() - leader_synced_at_ - heartbeat_interval);
 }
 
-bool FleetServer::in_step() const {
+bool FleetServer::in_sync() const {
     const std::optional<runtime::Time> age = staleness();
-    return age && *age < freshness_limit_;
+    return age && *age < max_staleness_;
 }
 
-// Nobody begins with a view that may be old.
-void FleetServer::send_views() {
-    if (!in_step()) return;
+// Peers receive the view only while it is known to be current.
+void FleetServer::send_pending_views() {
+    if (!in_sync()) return;
     for (auto& [session, peer] : peers_) {
         if (!peer.awaits_view) continue;
         peer.awaits_view = false;
-        for (const wire::Message& message : view_.whole()) sessions_.send(session, message);
-        answer_stamp(session, peer);
+        for (const wire::Message& message : view_.snapshot()) sessions_.send(session, message);
+        echo_stamp(session, peer);
     }
 }
 
 // ---- members ----
 
-std::vector<wire::Member> FleetServer::direct_members() const {
+std::vector<wire::Member> FleetServer::connected_members() const {
     std::vector<wire::Member> members{self_};
     for (const auto& [session, peer] : peers_) {
-        if (peer.greeted) members.push_back(peer.member);
+        if (peer.said_hello) members.push_back(peer.member);
     }
     return members;
 }
 
 void FleetServer::members_changed() {
-    if (log_.leads()) {
-        members_.report(loop_.steady_now(), self_.node, direct_members());
+    if (log_.is_leader()) {
+        members_.report(loop_.steady_now(), self_.node, connected_members());
         publish_members();
     } else {
-        report_members();
+        report_members_to_leader();
     }
 }
 
-void FleetServer::report_members() {
-    if (to_leader_) sessions_.send(to_leader_, wire::MembersReport{direct_members()});
+void FleetServer::report_members_to_leader() {
+    if (leader_session_) sessions_.send(leader_session_, wire::MembersReport{connected_members()});
 }
 
-// The first change goes out at once, those that follow it closely together: every list names all members.
+// Publishes the first change at once and collects those that follow shortly after: each update names all
+// members.
 void FleetServer::publish_members() {
     if (publication_.pending()) return;
-    const runtime::Time passed = loop_.now() - published_members_at_;
-    if (passed >= distribution::publication_gap) return publish_members_now();
-    publication_.start(distribution::publication_gap - passed, [this] {
-        if (log_.leads()) publish_members_now();
+    const runtime::Time passed = loop_.now() - members_published_at_;
+    if (passed >= distribution::min_publication_interval) return publish_members_now();
+    publication_.start(distribution::min_publication_interval - passed, [this] {
+        if (log_.is_leader()) publish_members_now();
     });
 }
 
 void FleetServer::publish_members_now() {
-    published_members_at_ = loop_.now();
-    const wire::MembersUpdate update{next_revision(), members_.members(), members_.whole(loop_.steady_now())};
+    members_published_at_ = loop_.now();
+    const wire::MembersUpdate update{next_revision(), members_.members(),
+                                     members_.complete(loop_.steady_now())};
     if (view_.apply(update).members) broadcast(update);
-    expire_members();
+    schedule_member_expiry();
 }
 
-void FleetServer::expire_members() {
+void FleetServer::schedule_member_expiry() {
     const auto next = members_.next_expiry();
     if (!next) return expiry_.cancel();
     const auto wait = std::chrono::ceil<std::chrono::milliseconds>(*next - loop_.steady_now());
     expiry_.start(runtime::tenths(std::max(wait, std::chrono::milliseconds(1))), [this] {
-        if (!log_.leads()) return;
+        if (!log_.is_leader()) return;
         members_.expire(loop_.steady_now());
         publish_members();
     });
@@ -176,163 +180,164 @@
 // ---- leadership ----
 
 void FleetServer::leadership_changed() {
-    if (log_.leads() && !led_) {
-        published_ = 0;
-        list_read_ = false;
+    if (log_.is_leader() && !was_leader_) {
+        last_revision_number_ = 0;
+        last_list_read_succeeded_ = false;
         std::vector<wire::Member> known;
         for (const auto& [node, member] : view_.members()) known.push_back(member);
         members_ = control::MemberTable();
-        members_.adopt(loop_.steady_now(), known, view_.members_whole());
+        members_.inherit(loop_.steady_now(), known, view_.members_complete());
         members_changed();
     }
-    led_ = log_.leads();
+    was_leader_ = log_.is_leader();
     connect_to_leader();
 }
 
 void FleetServer::connect_to_leader() {
-    const std::optional<std::string> leader = log_.leads() ? std::nullopt : log_.leader_address();
-    if (to_leader_ && leader == leader_address_) return;
-    if (to_leader_) { sessions_.close(std::exchange(to_leader_, 0)); }
+    const std::optional<std::string> leader = log_.is_leader() ? std::nullopt : log_.leader_address();
+    if (leader_session_ && leader == leader_address_) return;
+    if (leader_session_) { sessions_.close(std::exchange(leader_session_, 0)); }
     leader_address_.clear();
     reconnect_.cancel();
     if (!leader) return;
     const auto address = transport::parse_tcp_endpoint(*leader);
     if (!address) return;
     leader_address_ = *leader;
-    to_leader_ = sessions_.open(*address, *this, distribution::connect_limit);
+    leader_session_ = sessions_.open(*address, *this, distribution::connect_timeout);
 }
 
 void FleetServer::session_opened(transport::SessionId session) {
-    if (session != to_leader_) return;
+    if (session != leader_session_) return;
     sessions_.send(session, wire::Hello{wire::protocol_version, self_});
-    peers_[session] = Peer{.heard_at = loop_.now()};
-    stamp_leader();
-    report_members();
+    peers_[session] = Peer{.last_contact = loop_.now()};
+    send_stamp_to_leader();
+    report_members_to_leader();
 }
 
 // ---- sessions ----
 
 void FleetServer::session_received(transport::SessionId session, wire::Message&& message) {
     Peer& peer = peers_[session];
-    peer.heard_at = loop_.now();
-    if (session == to_leader_) return from_leader(message);
+    peer.last_contact = loop_.now();
+    if (session == leader_session_) return leader_message_received(message);
     if (const auto* const consensus = std::get_if<wire::ConsensusMessage>(&message)) {
-        if (consensus_) consensus_(*consensus);
+        if (on_consensus_message_) on_consensus_message_(*consensus);
         return;
     }
     if (std::holds_alternative<wire::Probe>(message)) return send_heartbeat(session);
-    if (const auto* const asked = std::get_if<wire::Heartbeat>(&message)) {
-        peer.stamp = asked->stamp;
-        return answer_stamp(session, peer);
+    if (const auto* const request = std::get_if<wire::Heartbeat>(&message)) {
+        peer.stamp = request->stamp;
+        return echo_stamp(session, peer);
     }
-    if (const auto* const hello = std::get_if<wire::Hello>(&message)) return greeted(session, peer, *hello);
+    if (const auto* const hello = std::get_if<wire::Hello>(&message))
+        return hello_received(session, peer, *hello);
     if (const auto* const changed = std::get_if<wire::MemberChanged>(&message)) {
         return member_changed(peer, changed->self);
     }
     if (const auto* const report = std::get_if<wire::MembersReport>(&message)) {
-        if (!log_.leads()) return;
+        if (!log_.is_leader()) return;
         members_.report(loop_.steady_now(), peer.member.node, report->members);
         publish_members();
     }
 }
 
-// Behind all news that has been sent there: to one that still waits for the view it would prove nothing.
-// While no list is known the stamp is kept, and answered again once there is one.
-void FleetServer::answer_stamp(transport::SessionId session, Peer& peer) {
-    if (peer.stamp == 0 || !peer.greeted || peer.awaits_view) return;
+// The echo follows all updates already sent to the peer; before the peer has received the view it would prove
+// nothing. While no instance list is known the stamp is kept and echoed again once there is one.
+void FleetServer::echo_stamp(transport::SessionId session, Peer& peer) {
+    if (peer.stamp == 0 || !peer.said_hello || peer.awaits_view) return;
     wire::Heartbeat answer = heartbeat();
     answer.echo = peer.stamp;
     if (list_as_of_) peer.stamp = 0;
     sessions_.send(session, answer);
 }
 
-void FleetServer::answer_stamps() {
-    for (auto& [session, peer] : peers_) answer_stamp(session, peer);
+void FleetServer::echo_stamps() {
+    for (auto& [session, peer] : peers_) echo_stamp(session, peer);
 }
 
 std::optional<runtime::Time> FleetServer::list_age() const {
     if (!list_as_of_) return std::nullopt;
     const runtime::Time age = loop_.now() - *list_as_of_;
-    const bool newer_can_be_known = log_.leads() ? list_read_ : in_step();
-    return newer_can_be_known ? age : std::min(age, longest_age_in_trouble);
+    const bool source_is_current = log_.is_leader() ? last_list_read_succeeded_ : in_sync();
+    return source_is_current ? age : std::min(age, max_list_age_without_source);
 }
 
-// Counted from the stamp: what the leader tells without one may have been on its way for any time.
-void FleetServer::stamp_answered(const wire::Heartbeat& heartbeat) {
+// Times count from the stamp: a message without an echo may have been under way for any time.
+void FleetServer::echo_received(const wire::Heartbeat& heartbeat) {
     if (heartbeat.echo == 0) return;
-    leader_told_at_ = std::max(leader_told_at_, static_cast<runtime::Time>(heartbeat.echo));
+    leader_synced_at_ = std::max(leader_synced_at_, static_cast<runtime::Time>(heartbeat.echo));
     if (heartbeat.list_age_ms == wire::unknown_list_age_ms) return;
     const bool first = !list_as_of_;
     const runtime::Time age = heartbeat.list_age_ms * runtime::tenths_per_millisecond;
     const runtime::Time as_of = static_cast<runtime::Time>(heartbeat.echo) - age;
     list_as_of_ = std::max(list_as_of_.value_or(as_of), as_of);
-    if (first) answer_stamps();
+    if (first) echo_stamps();
 }
 
-void FleetServer::stamp_leader() {
-    if (!peers_.contains(to_leader_)) return;  // none, or it is still being opened
-    wire::Heartbeat asked = heartbeat();
-    asked.stamp = static_cast<std::uint64_t>(loop_.now());
-    sessions_.send(to_leader_, asked);
+void FleetServer::send_stamp_to_leader() {
+    if (!peers_.contains(leader_session_)) return;  // no session, or not open yet
+    wire::Heartbeat request = heartbeat();
+    request.stamp = static_cast<std::uint64_t>(loop_.now());
+    sessions_.send(leader_session_, request);
 }
 
-void FleetServer::from_leader(const wire::Message& message) {
-    if (const auto* const heartbeat = std::get_if<wire::Heartbeat>(&message)) stamp_answered(*heartbeat);
+void FleetServer::leader_message_received(const wire::Message& message) {
+    if (const auto* const heartbeat = std::get_if<wire::Heartbeat>(&message)) echo_received(*heartbeat);
     const std::uint64_t before = view_.evacuations().index;
     const distribution::Changes changes = view_.apply(message);
-    // Evacuations are passed on also where only their place in the log is later.
+    // Evacuations are relayed even if only their log index is newer.
     if (changes.any() || view_.evacuations().index != before) broadcast(message);
 }
 
-void FleetServer::greeted(transport::SessionId session, Peer& peer, const wire::Hello& hello) {
+void FleetServer::hello_received(transport::SessionId session, Peer& peer, const wire::Hello& hello) {
     if (hello.protocol != wire::protocol_version) {
         sessions_.close(session);
         peers_.erase(session);
         return;
     }
-    peer.greeted = true;
+    peer.said_hello = true;
     peer.member = hello.self;
     logging::log(Level::info, Event::member_joined, {{"member", std::string_view(hello.self.node)}});
     peer.awaits_view = true;
     send_heartbeat(session);
-    send_views();
+    send_pending_views();
     members_changed();
 }
 
 void FleetServer::member_changed(Peer& peer, const wire::Member& member) {
-    if (!peer.greeted) return;
+    if (!peer.said_hello) return;
     peer.member = member;
     members_changed();
 }
 
 void FleetServer::session_closed(transport::SessionId session) {
     const auto found = peers_.find(session);
-    if (session == to_leader_) {
-        to_leader_ = 0;
+    if (session == leader_session_) {
+        leader_session_ = 0;
         if (found != peers_.end()) peers_.erase(found);
-        reconnect_.start(distribution::reconnect_pause, [this] { connect_to_leader(); });
+        reconnect_.start(distribution::reconnect_delay, [this] { connect_to_leader(); });
         return;
     }
     if (found == peers_.end()) return;
     const Peer peer = found->second;
     peers_.erase(found);
-    if (!peer.greeted) return;
+    if (!peer.said_hello) return;
     logging::log(Level::info, Event::member_left, {{"member", std::string_view(peer.member.node)}});
-    if (log_.leads() && peer.member.role == wire::Role::control_plane) {
+    if (log_.is_leader() && peer.member.role == wire::Role::control_plane) {
         members_.reporter_lost(loop_.steady_now(), peer.member.node);
     }
     members_changed();
 }
 
-void FleetServer::beat() {
-    heartbeat_.start(heartbeat_interval, [this] { beat(); });
-    drop_silent();
-    send_views();
+void FleetServer::heartbeat_tick() {
+    heartbeat_.start(heartbeat_interval, [this] { heartbeat_tick(); });
+    close_unresponsive_sessions();
+    send_pending_views();
     const std::string frame = wire::frame(heartbeat());
     for (const auto& [session, peer] : peers_) {
-        if (session != to_leader_) sessions_.send_frame(session, frame);
+        if (session != leader_session_) sessions_.send_frame(session, frame);
     }
-    stamp_leader();
+    send_stamp_to_leader();
 }
 
 wire::Heartbeat FleetServer::heartbeat() const {
@@ -343,20 +348,21 @@
         heartbeat.staleness_ms =
             static_cast<std::uint64_t>(std::max<runtime::Time>(0, *age) / runtime::tenths_per_millisecond);
     heartbeat.leader_control = leader_control().value_or("");
-    if (const std::optional<runtime::Time> of_list = list_age()) {
-        heartbeat.list_age_ms = static_cast<std::uint32_t>(*of_list / runtime::tenths_per_millisecond);
+    if (const std::optional<runtime::Time> age_of_list = list_age()) {
+        heartbeat.list_age_ms = static_cast<std::uint32_t>(*age_of_list / runtime::tenths_per_millisecond);
     }
     return heartbeat;
 }
 
 void FleetServer::send_heartbeat(transport::SessionId session) { sessions_.send(session, heartbeat()); }
 
-void FleetServer::drop_silent() {
-    std::vector<transport::SessionId> silent;
+void FleetServer::close_unresponsive_sessions() {
+    std::vector<transport::SessionId> unresponsive;
     for (const auto& [session, peer] : peers_) {
-        if (loop_.now() - peer.heard_at > distribution::silence_limit) silent.push_back(session);
+        if (loop_.now() - peer.last_contact > distribution::unresponsive_timeout)
+            unresponsive.push_back(session);
     }
-    for (const transport::SessionId session : silent) {
+    for (const transport::SessionId session : unresponsive) {
         sessions_.close(session);
         session_closed(session);
     }
--- a/src/control_plane/fleet_server.h
+++ b/src/control_plane/fleet_server.h
@@ -1,6 +1,6 @@
-// Serves the view of the whole to gateways and to other control planes, and keeps it: at the leader members
-// and instances come from reports and from the platform's list; elsewhere they are relayed from the leader.
-// Owns all sessions.
+// Serves the fleet's shared state to gateways and to other control planes. On the leader, members come from
+// the control planes' reports and instances from the platform's list; the other control planes relay both
+// from the leader. Configuration and evacuations come from the local replicated log. Owns all sessions.
 #pragma once
 
 #include <functional>
@@ -15,41 +15,46 @@
 
 namespace dewweir::control_plane {
 
+// Staleness is measured without comparing clocks: a process sends a stamp (a time of its own clock) in a
+// heartbeat, and the receiver echoes it after all updates it has sent before. When the echo arrives, the
+// sender holds every update that the receiver had published by the time of the stamp.
 class FleetServer : transport::SessionUser {
   public:
+    // `max_staleness`: a process whose own proof of being in sync is older sends nobody its view.
     FleetServer(runtime::EventLoop& loop, transport::Sessions& sessions, const wire::Member& self,
-                const ReplicatedLog& log, runtime::Time freshness_limit);
+                const ReplicatedLog& log, runtime::Time max_staleness);
 
-    // Returns why the address can't be listened on, else nothing.
+    // Listens for sessions. Returns why that failed, or nothing on success.
     std::optional<std::string> listen(const asio::ip::tcp::endpoint& address);
-    // Consensus messages that come over the sessions.
-    void on_consensus(std::function<void(const wire::ConsensusMessage&)> take) {
-        consensus_ = std::move(take);
+    // Sets the receiver of consensus messages that arrive over the sessions.
+    void on_consensus(std::function<void(const wire::ConsensusMessage&)> callback) {
+        on_consensus_message_ = std::move(callback);
     }
-    // What the log has applied is passed on.
+    // Publishes what the log has applied since the last call.
     void publish_state();
-    // This process leads now, or no longer, or another leader is known.
+    // The leader, or this process's knowledge of it, has changed.
     void leadership_changed();
-    // The platform's list as just read; at the leader alone.
-    void instances_read(const control::InstanceReading& reading);
-    // The platform did not tell its list.
-    void instances_unread() { list_read_ = false; }
+    // A complete reading of the platform's list; ignored unless this process leads.
+    void instance_list_read(const control::InstanceReading& reading);
+    // A reading of the platform's list failed.
+    void instance_list_failed() { last_list_read_succeeded_ = false; }
 
-    // For how long changes may have been acknowledged, or news told by the leader, that this process lacks;
-    // nothing where it was never in step.
+    // For how long changes may have been acknowledged, or updates published by the leader, that are missing
+    // here. Nothing before the first proof of being in sync.
     std::optional<runtime::Time> staleness() const;
     const distribution::View& view() const { return view_; }
     const wire::Member& self() const { return self_; }
-    // Where the leader takes operators' calls; nothing while it is not known.
+    // The address of the leader's operator API, "IPv4:port"; nothing while no leader is known.
     std::optional<std::string> leader_control() const;
 
   private:
+    // The other end of a session.
     struct Peer {
-        bool greeted = false;
-        bool awaits_view = false;  // greeted while this process was not in step
-        wire::Member member{};
-        runtime::Time heard_at = 0;
-        std::uint64_t stamp = 0;  // to be sent back; 0: none
+        bool said_hello = false;
+        bool awaits_view = false;  // has not received the view yet, because this process was not in sync
+        wire::Member member{};     // from its Hello; empty before
+        runtime::Time last_contact = 0;  // when its last message arrived
+        std::uint64_t stamp = 0;         // still to be echoed; 0: none
     };
 
     void session_opened(transport::SessionId session) override;
@@ -60,48 +65,50 @@
     void send_heartbeat(transport::SessionId session);
     wire::Heartbeat heartbeat() const;
     std::optional<runtime::Time> list_age() const;
-    bool in_step() const;
-    void send_views();
-    void greeted(transport::SessionId session, Peer& peer, const wire::Hello& hello);
+    bool in_sync() const;
+    void send_pending_views();
+    void hello_received(transport::SessionId session, Peer& peer, const wire::Hello& hello);
     void member_changed(Peer& peer, const wire::Member& member);
-    void from_leader(const wire::Message& message);
-    void answer_stamp(transport::SessionId session, Peer& peer);
-    void answer_stamps();
-    void stamp_leader();
-    void stamp_answered(const wire::Heartbeat& heartbeat);
+    void leader_message_received(const wire::Message& message);
+    void echo_stamp(transport::SessionId session, Peer& peer);
+    void echo_stamps();
+    void send_stamp_to_leader();
+    void echo_received(const wire::Heartbeat& heartbeat);
     void members_changed();
     void publish_members();
     void publish_members_now();
-    void report_members();
-    std::vector<wire::Member> direct_members() const;
+    void report_members_to_leader();
+    std::vector<wire::Member> connected_members() const;
     void broadcast(const wire::Message& message);
-    void beat();
-    void drop_silent();
+    void heartbeat_tick();
+    void close_unresponsive_sessions();
     void connect_to_leader();
-    void expire_members();
+    void schedule_member_expiry();
     wire::Revision next_revision();
 
     runtime::EventLoop& loop_;
     transport::Sessions& sessions_;
     wire::Member self_;
     const ReplicatedLog& log_;
-    const runtime::Time freshness_limit_;  // with an older proof nobody is given the whole view
+    const runtime::Time max_staleness_;
     distribution::View view_;
     std::map<transport::SessionId, Peer> peers_;
-    std::function<void(const wire::ConsensusMessage&)> consensus_;
+    std::function<void(const wire::ConsensusMessage&)> on_consensus_message_;
     control::MemberTable members_;
-    std::uint64_t published_ = 0;  // updates in this term
-    // All news of instances that the platform told before is in the view; nothing where none was ever read.
+    // Of the last update published; starts again at 0 whenever this process becomes the leader.
+    std::uint64_t last_revision_number_ = 0;
+    // The view holds every instance change that the platform showed before this time; nothing before the
+    // first list.
     std::optional<runtime::Time> list_as_of_;
-    bool list_read_ = false;  // by this leader, at its last attempt
-    transport::SessionId to_leader_ = 0;
-    runtime::Time leader_told_at_ = 0;  // all that the leader told before is here
-    std::string leader_address_;        // that `to_leader_` goes to
-    bool led_ = false;
+    bool last_list_read_succeeded_ = false;    // as the leader, at the last attempt
+    transport::SessionId leader_session_ = 0;  // 0: none
+    runtime::Time leader_synced_at_ = 0;       // every update the leader sent before this time has arrived
+    std::string leader_address_;               // the remote address of leader_session_
+    bool was_leader_ = false;                  // at the last leadership_changed()
     runtime::Timer heartbeat_;
     runtime::Timer expiry_;
-    runtime::Timer publication_;  // pending while changes of the members are gathered
-    runtime::Time published_members_at_ = 0;
+    runtime::Timer publication_;  // pending while further member changes are collected
+    runtime::Time members_published_at_ = 0;
     runtime::Timer reconnect_;
 };
 
--- a/src/control_plane/operator_api.cpp
+++ b/src/control_plane/operator_api.cpp
@@ -9,10 +9,10 @@
 constexpr std::string_view evacuation_path = "/v1/evacuation/";
 constexpr std::string_view status_path = "/v1/status";
 constexpr std::string_view history_path = "/v1/history";
-// When a caller may come back while no leader is known, in seconds.
+// Retry-After in seconds while no leader is known or an answer can't be given yet.
 constexpr std::string_view retry_without_leader = "0.3";
 
-// Its version is not known where it can't be read.
+// Logs the base version alone: the version of a rejected configuration may be unreadable.
 void log_refusal(configuration::Version base, const configuration::Rejection& rejection) {
     logging::log(logging::Level::info, logging::Event::configuration_refused,
                  {{"base", static_cast<std::int64_t>(base.number)},
@@ -69,7 +69,7 @@
 
 LogStatus OperatorApi::log_status() const {
     LogStatus status;
-    status.leads = log_.leads();
+    status.is_leader = log_.is_leader();
     status.term = log_.term();
     status.commit_index = log_.commit_index();
     status.applied_index = log_.applied_index();
@@ -82,7 +82,7 @@
 }
 
 void OperatorApi::redirect(const std::string& path, const api::Respond& respond) const {
-    const std::optional<std::string> leader = log_.leads() ? std::nullopt : fleet_.leader_control();
+    const std::optional<std::string> leader = log_.is_leader() ? std::nullopt : fleet_.leader_control();
     if (leader && !leader->empty()) {
         api::Response response{api::Status::temporary_redirect};
         response.location = "http://" + *leader + path;
@@ -158,7 +158,7 @@
             case control::Outcome::version_conflict:
                 return respond({api::Status::precondition_failed,
                                 api::error_body("another version is in force", "read it and build on it")});
-            case control::Outcome::forgotten: {
+            case control::Outcome::expired: {
                 api::Response response{api::Status::service_unavailable,
                                        api::error_body("whether this old version was accepted is not known",
                                                        "read the version in force")};
--- a/src/control_plane/operator_api.h
+++ b/src/control_plane/operator_api.h
@@ -1,5 +1,5 @@
-// The calls of operators: configuration, evacuations, status and history. Each call is declared beside its
-// handler. Calls that need the leader are sent on to it by a redirect.
+// The HTTP API for operators: configuration, evacuations, status and history. Proposals and linearizable
+// reads need the leader; other control planes redirect the caller to it.
 #pragma once
 
 #include "api/server.h"
@@ -20,7 +20,8 @@
     void declare_status();
     void declare_history();
 
-    // Checks it as a proposal; one that has been accepted before, maybe by a build that checked less, passes.
+    // Parses and validates a proposed configuration. One that was accepted before passes if it is still
+    // readable, even if an earlier build with fewer checks accepted it, so that repeating a request succeeds.
     configuration::ParseResult read_proposal(const std::string& text) const;
     void put_configuration(const api::Request& request, const api::Respond& respond);
     void get_configuration(const api::Respond& respond);
@@ -28,7 +29,7 @@
     LogStatus log_status() const;
     void set_evacuation(const api::Request& request, const api::Respond& respond, bool evacuated);
     void propose(const control::Command& command, const std::string& path, const api::Respond& respond);
-    // Sends the caller on to the leader, or tells it to come back where none is known.
+    // Answers with a redirect to the leader, or with 503 and Retry-After while no leader is known.
     void redirect(const std::string& path, const api::Respond& respond) const;
 
     api::Server& server_;
--- a/src/control_plane/process.cpp
+++ b/src/control_plane/process.cpp
@@ -17,14 +17,15 @@
 namespace dewweir::control_plane {
 namespace {
 
-constexpr std::size_t most_call_bytes = 32u << 20;
-constexpr std::size_t reserved_descriptors = 250;
+constexpr std::size_t max_request_body_bytes = 32u << 20;
+// Descriptors that connections may not use: store files, listening sockets and the like.
+constexpr std::size_t reserved_file_descriptors = 250;
 constexpr runtime::Time poll_interval = 700 * runtime::tenths_per_millisecond;
-// After SIGTERM, for what is on its way.
-constexpr runtime::Time end_delay = 300 * runtime::tenths_per_millisecond;
-constexpr runtime::Time end_check = 50 * runtime::tenths_per_millisecond;
-// Before the end of `grace` the process must have ended by itself.
-constexpr runtime::Time end_margin = 800 * runtime::tenths_per_millisecond;
+// Between the last accepted connection and the end of the process, for requests still under way.
+constexpr runtime::Time final_reply_delay = 300 * runtime::tenths_per_millisecond;
+constexpr runtime::Time leave_check_interval = 50 * runtime::tenths_per_millisecond;
+// The process ends by itself this long before the `grace` period after SIGTERM runs out.
+constexpr runtime::Time kill_margin = 800 * runtime::tenths_per_millisecond;
 constexpr int exit_cannot_listen = 1;
 
 std::vector<std::string> internal_seeds(const settings::Settings& settings) {
@@ -35,15 +36,16 @@
     return seeds;
 }
 
-// As long as gateways take a view for one in step.
-runtime::Time freshness_limit(const settings::Settings& settings) {
-    const unsigned silent = settings.invariants.fault_budget.machines + 1;
-    return distribution::search_intervals(settings.invariants.bounds.config_apply, silent).freshness_limit;
+// The same limit up to which gateways consider a control plane in sync.
+runtime::Time max_staleness(const settings::Settings& settings) {
+    const unsigned unresponsive = settings.invariants.fault_budget.machines + 1;
+    return distribution::search_intervals(settings.invariants.bounds.config_apply, unresponsive)
+        .max_staleness;
 }
 
 RaftLogOptions log_options(const settings::Settings& settings) {
     RaftLogOptions options;
-    options.folder = settings.self.state_dir.value_or(".") + "/replica";
+    options.store_directory = settings.self.state_dir.value_or(".") + "/replica";
     options.address = to_string(process::internal_endpoint(settings));
     options.bootstrap = settings.self.bootstrap;
     options.seeds = internal_seeds(settings);
@@ -60,30 +62,32 @@
     return {zones_of(settings), poll_interval, settings.substrate.cloud_api.rate_per_s};
 }
 
-class Process : LogUser {
+class Process : LogObserver {
   public:
     Process(const settings::Settings& settings, const std::string& path)
         : settings_(settings),
-          loop_(settings.self.limits.max_fds - reserved_descriptors),
+          loop_(settings.self.limits.max_fds - reserved_file_descriptors),
           sessions_(loop_),
           self_(process::describe_process(settings, wire::Role::control_plane)),
           links_(
-              loop_, sessions_, [this](const consensus::Envelope& envelope) { log_.received(envelope); },
-              [this](const consensus::Replica& replica) { log_.joining(replica); }),
+              loop_, sessions_,
+              [this](const consensus::Envelope& envelope) { log_.message_received(envelope); },
+              [this](const consensus::Replica& replica) { log_.join_requested(replica); }),
           log_(loop_, links_, *this, log_options(settings)),
-          fleet_(loop_, sessions_, self_, log_, freshness_limit(settings)),
-          server_(loop_, most_call_bytes),
+          fleet_(loop_, sessions_, self_, log_, max_staleness(settings)),
+          server_(loop_, max_request_body_bytes),
           api_(server_, log_, fleet_),
           poller_(
               loop_, transport::tcp_endpoint(settings.substrate.cloud_api.address), poller_options(settings),
-              [this](const control::InstanceReading& reading) { fleet_.instances_read(reading); },
-              [this] { fleet_.instances_unread(); }),
-          end_(loop_),
+              [this](const control::InstanceReading& reading) { fleet_.instance_list_read(reading); },
+              [this] { fleet_.instance_list_failed(); }),
+          shutdown_timer_(loop_),
           watch_(loop_, path, [this](const settings::Settings& changed) { settings_changed(changed); }) {}
 
     int run() {
         if (!listen()) return exit_cannot_listen;
-        fleet_.on_consensus([this](const wire::ConsensusMessage& message) { links_.take(message); });
+        fleet_.on_consensus(
+            [this](const wire::ConsensusMessage& message) { links_.message_received(message); });
         loop_.on_signals([this] { terminate(); }, [this] { watch_.reload(); });
         watch_.start();
         log_.start();
@@ -95,41 +99,41 @@
   private:
     bool listen() {
         const auto internal = process::internal_endpoint(settings_);
-        std::optional<std::string> fault = fleet_.listen(transport::tcp_endpoint(internal));
-        if (!fault) fault = links_.bind(transport::udp_endpoint(internal));
-        if (!fault && settings_.network.bind.control) {
-            fault = server_.listen(transport::tcp_endpoint(*settings_.network.bind.control));
+        std::optional<std::string> error = fleet_.listen(transport::tcp_endpoint(internal));
+        if (!error) error = links_.bind(transport::udp_endpoint(internal));
+        if (!error && settings_.network.bind.control) {
+            error = server_.listen(transport::tcp_endpoint(*settings_.network.bind.control));
         }
-        if (!fault) return true;
+        if (!error) return true;
         logging::log(logging::Level::error, logging::Event::address_unavailable,
-                     {{"reason", std::string_view(*fault)}});
+                     {{"reason", std::string_view(*error)}});
         return false;
     }
 
-    // Leadership goes to another at once; what was asked here is repeated there. The process ends when the
-    // group does without it, at the latest just before it would be killed. Until then it takes operators'
-    // calls: it may be the only one that can.
+    // Hands over leadership at once; callers repeat their requests at the new leader. The process ends when
+    // the group no longer needs this replica, at the latest just before it would be killed. Until then it
+    // keeps serving the operator API: it may be the only control plane that can.
     void terminate() {
         if (terminating_) return;
         terminating_ = true;
         logging::log(logging::Level::info, logging::Event::stopping, {});
-        log_.leave();
+        log_.start_leaving();
         const runtime::Time grace = runtime::tenths(settings_.invariants.bounds.grace);
-        end_at_ = loop_.now() + std::max<runtime::Time>(grace - end_margin, 0);
-        end_if_possible();
+        shutdown_deadline_ = loop_.now() + std::max<runtime::Time>(grace - kill_margin, 0);
+        finish_when_replaced();
     }
 
-    void end_if_possible() {
-        if (!log_.may_leave() && loop_.now() < end_at_) {
-            end_.start(end_check, [this] { end_if_possible(); });
+    void finish_when_replaced() {
+        if (!log_.may_leave() && loop_.now() < shutdown_deadline_) {
+            shutdown_timer_.start(leave_check_interval, [this] { finish_when_replaced(); });
             return;
         }
         server_.stop_listening();
-        end_.start(end_delay, [this] { end(); });
+        shutdown_timer_.start(final_reply_delay, [this] { shut_down(); });
     }
 
-    // Orders that are not settled by now may be in force or not: nothing is promised.
-    void end() {
+    // Answers open requests with 503: whether their commands take effect is not known.
+    void shut_down() {
         server_.answer_open({api::Status::service_unavailable,
                              api::error_body("this control plane ends", "repeat the call at another one")});
         logging::log(logging::Level::info, logging::Event::stopped, {});
@@ -144,14 +148,14 @@
     void state_changed() override {
         fleet_.publish_state();
         const std::uint32_t version = log_.state().configuration().version;
-        if (std::exchange(version_told_, version) == version) return;
+        if (std::exchange(last_logged_version_, version) == version) return;
         logging::log(logging::Level::info, logging::Event::configuration_accepted,
                      {{"version", static_cast<std::int64_t>(version)}});
     }
 
     void leadership_changed() override {
         fleet_.leadership_changed();
-        if (log_.leads()) {
+        if (log_.is_leader()) {
             poller_.start(fleet_.view().instances());
         } else {
             poller_.stop();
@@ -168,11 +172,11 @@
     api::Server server_;
     OperatorApi api_;
     control::InstancePoller poller_;
-    runtime::Timer end_;
+    runtime::Timer shutdown_timer_;
     process::SettingsWatch watch_;
     bool terminating_ = false;
-    runtime::Time end_at_ = 0;
-    std::uint32_t version_told_ = 0;  // of the configuration that the log has named last
+    runtime::Time shutdown_deadline_ = 0;
+    std::uint32_t last_logged_version_ = 0;  // the configuration version last logged as accepted
 };
 
 }  // namespace
--- a/src/control_plane/raft_log.cpp
+++ b/src/control_plane/raft_log.cpp
@@ -15,41 +15,42 @@
 using logging::Event;
 using logging::Level;
 
-// After so many entries, or bytes of them, the log is replaced by a snapshot.
+// The log is compacted into a snapshot after this many entries or payload bytes.
 constexpr std::size_t entries_per_snapshot = 64;
 constexpr std::size_t bytes_per_snapshot = 4u << 20;
 constexpr runtime::Time review_interval = 300 * runtime::tenths_per_millisecond;
-// A replica that has heard no leader for so long asks to be taken in: it may have been removed while it was
-// away.
-constexpr runtime::Time silence_before_join = 3 * runtime::tenths_per_second;
-// Proof of being in step is asked for so often.
+// A replica without contact to a leader for this long asks to join: it may have been removed from the group
+// while it was unreachable.
+constexpr runtime::Time leader_timeout_before_join = 3 * runtime::tenths_per_second;
+// How often a proof of being in sync is requested.
 constexpr runtime::Time freshness_interval = 200 * runtime::tenths_per_millisecond;
 constexpr runtime::Time leave_interval = 100 * runtime::tenths_per_millisecond;
-// A disk on which a write waits for longer is not counted on for an election.
-constexpr std::chrono::milliseconds longest_usual_write{1'000};
-constexpr int tenths_in_microseconds = 100;
+// With a write pending for longer the disk counts as stalled and the replica does not stand for election.
+constexpr std::chrono::milliseconds slow_write_threshold{1'000};
+constexpr int microseconds_per_tenth = 100;  // runtime::Time counts tenths of a millisecond
 
-// Replicas of a group's first start know each other's identity from their addresses; all later ones draw
-// theirs.
-consensus::ReplicaId first_identity(const std::string& address) {
+// The replicas of a bootstrapped group derive each other's ids from their addresses (odd numbers); replicas
+// that join later use random ids (even numbers), which can never equal a derived one.
+consensus::ReplicaId bootstrap_identity(const std::string& address) {
     return XXH3_64bits(address.data(), address.size()) | 1;
 }
 
-consensus::ReplicaId drawn_identity() {
+consensus::ReplicaId random_identity() {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32 | device()) & ~std::uint64_t{1};
 }
 
-std::uint64_t drawn_seed() { return std::random_device{}(); }
+std::uint64_t random_seed() { return std::random_device{}(); }
 
 }  // namespace
 
-RaftLog::RaftLog(runtime::EventLoop& loop, ConsensusLinks& links, LogUser& user, RaftLogOptions options)
+RaftLog::RaftLog(runtime::EventLoop& loop, ConsensusLinks& links, LogObserver& observer,
+                 RaftLogOptions options)
     : loop_(loop),
       links_(links),
-      user_(user),
+      observer_(observer),
       options_(std::move(options)),
-      disk_(loop, *this, options_.folder),
+      disk_(loop, *this, options_.store_directory),
       tick_(loop),
       review_(loop),
       freshness_timer_(loop),
@@ -59,42 +60,43 @@
 
 void RaftLog::start() { disk_.open(); }
 
-// ---- the disk ----
+// ---- disk ----
 
 void RaftLog::disk_opened(DiskContent content, consensus::PersistentState state) {
-    if (content == DiskContent::replica) return begin(std::move(state), {});
+    if (content == DiskContent::replica) return start_replica(std::move(state), {});
     const bool seed =
         std::find(options_.seeds.begin(), options_.seeds.end(), options_.address) != options_.seeds.end();
-    // Never with a disk that has held another life: a new replica begins, and never speaks for the old one.
+    // Not if a damaged store was discarded: the replica then gets a new id, since it must not act under the
+    // old id without what that one acknowledged.
     const bool first_start = options_.bootstrap && seed && content == DiskContent::empty;
-    const consensus::ReplicaId id = first_start ? first_identity(options_.address) : drawn_identity();
+    const consensus::ReplicaId id = first_start ? bootstrap_identity(options_.address) : random_identity();
     state.self = {id, options_.address};
-    store_self_ = state.self;
-    begin(std::move(state), first_start ? first_membership() : consensus::Membership{});
+    unsaved_identity_ = state.self;
+    start_replica(std::move(state), first_start ? bootstrap_membership() : consensus::Membership{});
 }
 
-consensus::Membership RaftLog::first_membership() const {
+consensus::Membership RaftLog::bootstrap_membership() const {
     consensus::Membership membership;
     for (const std::string& address : options_.seeds)
-        membership.voters.push_back({first_identity(address), address});
+        membership.voters.push_back({bootstrap_identity(address), address});
     membership.wanted_voters = static_cast<std::uint32_t>(membership.voters.size());
     return membership;
 }
 
-void RaftLog::begin(consensus::PersistentState state, const consensus::Membership& initial) {
-    if (state.snapshot && !restore(state.snapshot->data)) return;
+void RaftLog::start_replica(consensus::PersistentState state, const consensus::Membership& initial) {
+    if (state.snapshot && !restore_state(state.snapshot->data)) return;
     if (state.snapshot) applied_ = state.snapshot->index;
     state.self.address = options_.address;
-    raft_ = std::make_unique<consensus::Raft>(consensus::Options{}, std::move(state), initial, drawn_seed(),
+    raft_ = std::make_unique<consensus::Raft>(consensus::Options{}, std::move(state), initial, random_seed(),
                                               loop_.steady_now());
-    user_.state_changed();
-    process();
-    if (!raft_) return;  // its part has ended
+    observer_.state_changed();
+    process_ready();
+    if (!raft_) return;  // stopped by process_ready: a snapshot could not be decoded
     review_membership();
-    ask_for_freshness();
+    request_freshness_proof();
 }
 
-bool RaftLog::restore(const std::string& data) {
+bool RaftLog::restore_state(const std::string& data) {
     if (data.empty() || state_.restore(data)) return true;
     logging::log(Level::error, Event::state_unreadable, {{"bytes", static_cast<std::int64_t>(data.size())}});
     return false;
@@ -103,45 +105,46 @@
 void RaftLog::disk_written(consensus::WriteSequence sequence) {
     if (!raft_) return;
     raft_->persisted(loop_.steady_now(), sequence);
-    process();
+    process_ready();
 }
 
-// The replica goes on in memory: it follows, but promises nothing that waits for the disk. Another leads.
-void RaftLog::disk_refused() {
+// The replica continues in memory: it follows the leader, but acknowledges nothing that would need the disk.
+// A leader steps down.
+void RaftLog::disk_failed() {
     if (!raft_) return;
-    if (leads()) raft_->step_down(loop_.steady_now());
-    process();
+    if (is_leader()) raft_->step_down(loop_.steady_now());
+    process_ready();
 }
 
 void RaftLog::disk_recovered() {
     if (!raft_) return;
     disk_.write(raft_->whole_state(), raft_->self());
-    process();
+    process_ready();
 }
 
-// ---- the replica's work ----
+// ---- replica ----
 
-void RaftLog::received(const consensus::Envelope& envelope) {
+void RaftLog::message_received(const consensus::Envelope& envelope) {
     if (!raft_) return;
     raft_->receive(loop_.steady_now(), envelope);
     const std::optional<consensus::Replica> leader = raft_->leader();
-    if (leader && leader->id == envelope.from.id) leader_heard_at_ = loop_.now();
-    process();
+    if (leader && leader->id == envelope.from.id) leader_last_contact_ = loop_.now();
+    process_ready();
 }
 
-void RaftLog::schedule() {
+void RaftLog::schedule_tick() {
     const auto wait =
         std::chrono::duration_cast<std::chrono::microseconds>(raft_->next_deadline() - loop_.steady_now());
-    const runtime::Time from_now = std::max<runtime::Time>(1, wait.count() / tenths_in_microseconds);
+    const runtime::Time from_now = std::max<runtime::Time>(1, wait.count() / microseconds_per_tenth);
     tick_.start(from_now, [this] {
-        raft_->set_standing(disk_state() == DiskState::takes_writes);
+        raft_->set_standing(disk_state() == DiskState::writable);
         raft_->tick(loop_.steady_now());
-        process();
+        process_ready();
     });
 }
 
-// Carries out what the replica has to do until there is nothing more.
-void RaftLog::process() {
+// Carries out the work that the replica hands out until none is left.
+void RaftLog::process_ready() {
     if (processing_) return;
     processing_ = true;
     bool changed = false;
@@ -150,9 +153,9 @@
         consensus::Ready ready = raft_->take();
         more = ready.write || !ready.committed.empty() || ready.restore;
         for (const consensus::Envelope& envelope : ready.messages) links_.send(envelope);
-        if (ready.write) disk_.write(*ready.write, std::exchange(store_self_, std::nullopt));
+        if (ready.write) disk_.write(*ready.write, std::exchange(unsaved_identity_, std::nullopt));
         if (ready.restore) {
-            if (!restore(ready.restore->data)) return end_part();
+            if (!restore_state(ready.restore->data)) return stop_replica();
             applied_ = ready.restore->index;
             changed = true;
         }
@@ -160,7 +163,7 @@
         changed |= !ready.committed.empty();
         for (const consensus::SafeRead& read : ready.reads) {
             if (reads_.contains(read.token)) safe_reads_[read.token] = read.index;
-            freshness_.answered(read.token, read.index);
+            freshness_.request_confirmed(read.token, read.index);
         }
         for (const consensus::ReadToken token : ready.failed_reads) {
             const auto found = reads_.extract(token);
@@ -169,23 +172,23 @@
         if (ready.role_change) role_change = ready.role_change;
     }
     processing_ = false;
-    freshness_.applied(applied_);
-    if (changed) user_.state_changed();
-    reads_passed();
+    freshness_.entries_applied(applied_);
+    if (changed) observer_.state_changed();
+    complete_safe_reads();
     if (role_change) {
         if (role_change->role != consensus::Role::leader) fail_pending();
         logging::log(
             Level::info, Event::leader_changed,
             {{"term", static_cast<std::int64_t>(role_change->term)},
              {"leader", std::string_view(role_change->leader ? role_change->leader->address : "none")}});
-        user_.leadership_changed();
+        observer_.leadership_changed();
     }
-    compact_if_long();
-    schedule();
+    compact_if_needed();
+    schedule_tick();
 }
 
-// Without a state that can be read this replica neither votes nor serves.
-void RaftLog::end_part() {
+// Ends the replica's part after an undecodable snapshot: without its state it must neither vote nor serve.
+void RaftLog::stop_replica() {
     processing_ = false;
     raft_.reset();
     tick_.cancel();
@@ -193,7 +196,7 @@
     freshness_timer_.cancel();
     fail_pending();
     for (auto& [token, done] : std::exchange(reads_, {})) done(ProposalError::unavailable);
-    user_.leadership_changed();
+    observer_.leadership_changed();
 }
 
 void RaftLog::apply(const consensus::Entry& entry) {
@@ -215,7 +218,7 @@
     for (auto& [index, pending] : std::exchange(pending_, {})) pending.done({ProposalError::unavailable});
 }
 
-void RaftLog::reads_passed() {
+void RaftLog::complete_safe_reads() {
     for (auto at = safe_reads_.begin(); at != safe_reads_.end();) {
         if (at->second > applied_) {
             ++at;
@@ -227,10 +230,10 @@
     }
 }
 
-void RaftLog::compact_if_long() {
-    const bool is_long =
+void RaftLog::compact_if_needed() {
+    const bool is_due =
         entries_since_snapshot_ >= entries_per_snapshot || bytes_since_snapshot_ >= bytes_per_snapshot;
-    if (!is_long) return;
+    if (!is_due) return;
     entries_since_snapshot_ = 0;
     bytes_since_snapshot_ = 0;
     raft_->compact(applied_, state_.snapshot());
@@ -240,14 +243,14 @@
 
 void RaftLog::review_membership() {
     review_.start(review_interval, [this] { review_membership(); });
-    if (leads() || leaving_) return;
+    if (is_leader() || leaving_) return;
     const bool member = consensus::is_member(raft_->membership(), raft_->self().id);
-    const bool unheard = loop_.now() - leader_heard_at_ > silence_before_join;
-    if (!member || unheard) ask_to_join();
+    const bool leader_unresponsive = loop_.now() - leader_last_contact_ > leader_timeout_before_join;
+    if (!member || leader_unresponsive) request_to_join();
 }
 
-// Every control plane that is known is asked; who does not lead passes it on.
-void RaftLog::ask_to_join() {
+// Asks every known control plane; those that do not lead forward the request.
+void RaftLog::request_to_join() {
     std::set<std::string> addresses(options_.seeds.begin(), options_.seeds.end());
     for (const consensus::Replica& member : consensus::all_members(raft_->membership()))
         addresses.insert(member.address);
@@ -255,62 +258,64 @@
     for (const std::string& address : addresses) links_.send_join(address, raft_->self());
 }
 
-// Only processes that stand where control planes do are taken in; how many, the membership bounds.
+// Only processes that use the control planes' internal port may join; the membership rules limit their
+// number.
 bool RaftLog::may_join(const consensus::Replica& replica) const {
     const auto own = settings::parse_endpoint(options_.address);
-    const auto asker = settings::parse_endpoint(replica.address);
-    return own && asker && replica.id != 0 && own->port == asker->port;
+    const auto joining = settings::parse_endpoint(replica.address);
+    return own && joining && replica.id != 0 && own->port == joining->port;
 }
 
-void RaftLog::joining(const consensus::Replica& replica) {
+void RaftLog::join_requested(const consensus::Replica& replica) {
     if (!raft_ || !may_join(replica)) return;
-    if (leads()) {
+    if (is_leader()) {
         raft_->propose_membership(loop_.steady_now(), consensus::AddLearner{replica});
-        return process();
+        return process_ready();
     }
-    // Two that take each other for the leader must not pass it to and fro.
-    const bool heard = loop_.now() - leader_heard_at_ < silence_before_join;
+    // Forwarded only with recent contact to the leader: two followers that each take the other for the leader
+    // must not forward the request to and fro.
+    const bool leader_responsive = loop_.now() - leader_last_contact_ < leader_timeout_before_join;
     const std::optional<std::string> leader = leader_address();
-    if (heard && leader && *leader != replica.address) links_.send_join(*leader, replica);
+    if (leader_responsive && leader && *leader != replica.address) links_.send_join(*leader, replica);
 }
 
-void RaftLog::leave() {
+void RaftLog::start_leaving() {
     leaving_ = true;
-    go_on_leaving();
+    continue_leaving();
 }
 
-void RaftLog::go_on_leaving() {
+void RaftLog::continue_leaving() {
     if (!raft_ || raft_->may_leave()) return;
     raft_->prepare_to_leave(loop_.steady_now());
-    process();
-    leave_timer_.start(leave_interval, [this] { go_on_leaving(); });
+    process_ready();
+    leave_timer_.start(leave_interval, [this] { continue_leaving(); });
 }
 
-void RaftLog::ask_for_freshness() {
-    freshness_timer_.start(freshness_interval, [this] { ask_for_freshness(); });
+void RaftLog::request_freshness_proof() {
+    freshness_timer_.start(freshness_interval, [this] { request_freshness_proof(); });
     const consensus::ReadToken token = ++last_read_;
-    freshness_.asked(token, loop_.now());
+    freshness_.request_sent(token, loop_.now());
     raft_->confirm_state(loop_.steady_now(), token);
-    process();
+    process_ready();
 }
 
-// ---- what the control plane asks ----
+// ---- queries and proposals of the control plane ----
 
-bool RaftLog::leads() const { return raft_ && raft_->role() == consensus::Role::leader; }
+bool RaftLog::is_leader() const { return raft_ && raft_->role() == consensus::Role::leader; }
 
 std::uint64_t RaftLog::term() const { return raft_ ? raft_->term() : 0; }
 
 std::uint64_t RaftLog::commit_index() const { return raft_ ? raft_->commit_index() : 0; }
 
 std::optional<runtime::Time> RaftLog::staleness() const {
-    const auto since = raft_ ? freshness_.in_step_at() : std::nullopt;
+    const auto since = raft_ ? freshness_.in_sync_at() : std::nullopt;
     if (!since) return std::nullopt;
     return loop_.now() - *since;
 }
 
 DiskState RaftLog::disk_state() const {
-    if (disk_.refuses()) return DiskState::refuses;
-    return disk_.oldest_wait() > longest_usual_write ? DiskState::hangs : DiskState::takes_writes;
+    if (disk_.has_failed()) return DiskState::failed;
+    return disk_.oldest_wait() > slow_write_threshold ? DiskState::stalled : DiskState::writable;
 }
 
 std::vector<MemberStatus> RaftLog::members() const {
@@ -323,17 +328,17 @@
         MemberStatus status;
         status.address = replica.address;
         if (consensus::find_learner(membership, replica.id)) {
-            status.part = MemberPart::learner;
+            status.role = MemberRole::learner;
         } else if (!consensus::find_voter(membership, replica.id)) {
-            status.part = MemberPart::outgoing;
+            status.role = MemberRole::outgoing;
         }
         const auto peer = peers.find(replica.id);
         if (peer != peers.end()) {
             const consensus::Index last = raft_->log().last_index();
-            status.behind = last - std::min(last, peer->second.match);
-            status.silence = peer->second.silence.count() / tenths_in_microseconds;
-        } else if (leads()) {
-            status.behind = 0;
+            status.lag_entries = last - std::min(last, peer->second.match);
+            status.since_last_contact = peer->second.silence.count() / microseconds_per_tenth;
+        } else if (is_leader()) {
+            status.lag_entries = 0;
         }
         members.push_back(std::move(status));
     }
@@ -352,7 +357,7 @@
     const auto* const accepted = std::get_if<consensus::Accepted>(&result);
     if (!accepted) return done({ProposalError::not_leader});
     pending_[accepted->index] = {accepted->term, std::move(done)};
-    process();
+    process_ready();
 }
 
 void RaftLog::read_barrier(std::function<void(ProposalError)> done) {
@@ -360,7 +365,7 @@
     const consensus::ReadToken token = ++last_read_;
     if (raft_->read_index(loop_.steady_now(), token)) return done(ProposalError::not_leader);
     reads_[token] = std::move(done);
-    process();
+    process_ready();
 }
 
 }  // namespace dewweir::control_plane
--- a/src/control_plane/replica_disk.h
+++ b/src/control_plane/replica_disk.h
@@ -1,7 +1,7 @@
-// The replica's disk as its owner sees it: opened, written to, refusing, and taking bytes again. A disk that
-// refuses or fills never ends the process: nothing is reported written until all that the replica has is on
-// it. Owns the store and its writer. It must never tell a write done that is not synced, nor throw a store
-// away because it could not be read.
+// The durable storage of the Raft replica. Owns the store and its writer thread, reports completed writes,
+// and handles failures: a disk that fails or fills up never ends the process. It is reopened at an interval,
+// and once it accepts writes again the owner writes its complete state; until then no write is reported as
+// done. A write is reported only after it is synced, and a store is never discarded because of an I/O error.
 #pragma once
 
 #include <functional>
@@ -14,59 +14,66 @@
 
 namespace dewweir::control_plane {
 
+// What the first successful open found.
 enum class DiskContent : std::uint8_t {
-    replica,    // the state of one
-    empty,      // never used
-    discarded,  // it held a store that was not whole: what was acknowledged here may be gone
+    replica,  // the state of a replica
+    empty,    // never used
+    // A damaged store, now replaced by an empty one: entries that this replica acknowledged may be lost.
+    discarded,
 };
 
-class DiskUser {
+class DiskObserver {
   public:
-    virtual ~DiskUser() = default;
-    // `state` is that of a replica; of other content it has no identity.
+    virtual ~DiskObserver() = default;
+    // The disk was opened for the first time. Unless the content is `replica`, `state` is empty and has no
+    // replica id.
     virtual void disk_opened(DiskContent content, consensus::PersistentState state) = 0;
+    // All writes up to `sequence` are synced.
     virtual void disk_written(consensus::WriteSequence sequence) = 0;
-    // Writes since the last one that was reported may be lost; no more are taken.
-    virtual void disk_refused() = 0;
-    // The disk takes bytes again: the replica's whole state has to be written.
+    // A write failed: those after the last one reported may be lost, and further ones are dropped.
+    virtual void disk_failed() = 0;
+    // The disk accepts writes again; the replica's complete state must be written now.
     virtual void disk_recovered() = 0;
 };
 
 class ReplicaDisk {
   public:
-    ReplicaDisk(runtime::EventLoop& loop, DiskUser& user, std::string folder);
+    // `directory` holds the store; it is created if missing, its parent must exist.
+    ReplicaDisk(runtime::EventLoop& loop, DiskObserver& observer, std::string directory);
 
+    // Opens the store, retrying until that succeeds; the observer's disk_opened follows.
     void open();
-    // `self` is stored with it. Dropped while the disk refuses.
+    // Queues a write. `self`, if given, is stored as the replica's identity; the first write of an empty
+    // store must have it. Dropped unless the disk is writable.
     void write(const consensus::Write& write, const std::optional<consensus::Replica>& self);
 
-    bool refuses() const { return state_ == State::refuses; }
-    // For how long the oldest write has waited; 0 where none does.
+    bool has_failed() const { return state_ == State::failed; }
+    // How long the oldest pending disk operation has been waiting; 0: none is pending.
     std::chrono::milliseconds oldest_wait() const;
 
   private:
     enum class State : std::uint8_t {
-        unread,   // not yet opened: what it holds is not known
-        takes,    // writes are taken
-        refuses,  // a write failed; it is opened again from time to time
+        unopened,  // never opened successfully: the content is not known
+        writable,
+        failed,  // a write failed; reopening is retried every reopen_interval
     };
 
-    void opened(storage::OpenResult result);
-    void written(const storage::WriteCompletion& completion);
-    void refused(const std::string& what);
-    void open_later();
-    // Makes an empty store of one that is not whole. Returns whether the disk let it.
+    void store_opened(storage::OpenResult result);
+    void write_completed(const storage::WriteCompletion& completion);
+    void write_failed(const std::string& what);
+    void schedule_reopen();
+    // Replaces a damaged store by an empty one. Returns whether that succeeded.
     bool discard(const storage::NoState& reason);
 
     runtime::EventLoop& loop_;
-    DiskUser& user_;
-    const std::string folder_;
+    DiskObserver& observer_;
+    const std::string directory_;
     runtime::Mailbox mailbox_;
     std::shared_ptr<storage::ReplicaStore> store_;
     storage::DiskWriter writer_;
-    State state_ = State::unread;
-    bool held_another_ = false;  // a store that was not whole, discarded or about to be
-    runtime::Timer reopening_;
+    State state_ = State::unopened;
+    bool found_damaged_store_ = false;  // the directory held a damaged store, discarded or about to be
+    runtime::Timer reopen_timer_;
 };
 
 }  // namespace dewweir::control_plane
--- a/src/control_plane/status_report.cpp
+++ b/src/control_plane/status_report.cpp
@@ -35,8 +35,8 @@
 const char* role_name(wire::Role role) { return role == wire::Role::gateway ? "gateway" : "control-plane"; }
 
 void write_log(Writer& writer, const LogStatus& log) {
-    write_text(writer, "role", log.leads ? "leader" : "follower");
-    write_flag(writer, "leads", log.leads);
+    write_text(writer, "role", log.is_leader ? "leader" : "follower");
+    write_flag(writer, "leads", log.is_leader);
     write_number(writer, "term", log.term);
     write_text(writer, "leader", log.leader);
     write_text(writer, "leader_control", log.leader_control);
@@ -64,35 +64,36 @@
     writer.EndArray();
 }
 
-const char* part_name(MemberPart part) {
+const char* member_role_name(MemberRole part) {
     switch (part) {
-        case MemberPart::voter: return "voter";
-        case MemberPart::learner: return "learner";
-        case MemberPart::outgoing: return "outgoing";
+        case MemberRole::voter: return "voter";
+        case MemberRole::learner: return "learner";
+        case MemberRole::outgoing: return "outgoing";
     }
     return "";
 }
 
 const char* disk_name(DiskState disk) {
     switch (disk) {
-        case DiskState::takes_writes: return "takes writes";
-        case DiskState::hangs: return "hangs";
-        case DiskState::refuses: return "refuses";
+        case DiskState::writable: return "takes writes";
+        case DiskState::stalled: return "hangs";
+        case DiskState::failed: return "refuses";
     }
     return "";
 }
 
-// Who votes and who learns; the leader also tells who is behind, and for how long it has not heard it.
+// The group's members and their roles; the leader adds how many entries each lacks and the time since the
+// last contact.
 void write_replicas(Writer& writer, const std::vector<MemberStatus>& members) {
     writer.Key("replicas");
     writer.StartArray();
     for (const MemberStatus& member : members) {
         writer.StartObject();
         write_text(writer, "address", member.address);
-        write_text(writer, "part", part_name(member.part));
-        if (member.behind) {
-            write_number(writer, "behind", *member.behind);
-            write_number(writer, "silent_ms", member.silence / runtime::tenths_per_millisecond);
+        write_text(writer, "part", member_role_name(member.role));
+        if (member.lag_entries) {
+            write_number(writer, "behind", *member.lag_entries);
+            write_number(writer, "silent_ms", member.since_last_contact / runtime::tenths_per_millisecond);
         }
         writer.EndObject();
     }
@@ -182,7 +183,7 @@
     writer.Key("versions");
     writer.StartArray();
     std::uint64_t position = 0;
-    for (const auto& [version, hash] : state.accepted()) {
+    for (const auto& [version, hash] : state.accepted_versions()) {
         writer.StartObject();
         write_number(writer, "position", ++position);
         write_text(writer, "version", version_text(version));
--- a/src/distribution/view.cpp
+++ b/src/distribution/view.cpp
@@ -29,13 +29,13 @@
 Changes View::apply(const wire::MembersUpdate& update) {
     if (update.revision <= members_revision_) return {};
     members_revision_ = update.revision;
-    // A list that is not whole takes nobody out.
+    // An incomplete list removes no member.
     std::map<std::string, wire::Member> members;
     if (!update.whole) members = members_;
     for (const wire::Member& member : update.members) members[member.node] = member;
-    const bool changed = members != members_ || update.whole != members_whole_;
+    const bool changed = members != members_ || update.whole != members_complete_;
     members_ = std::move(members);
-    members_whole_ = update.whole;
+    members_complete_ = update.whole;
     return {.members = changed};
 }
 
@@ -50,10 +50,10 @@
     return {};
 }
 
-std::vector<wire::Message> View::whole() const {
+std::vector<wire::Message> View::snapshot() const {
     std::vector<wire::Message> messages;
     if (members_revision_ != wire::Revision{}) {
-        wire::MembersUpdate members{members_revision_, {}, members_whole_};
+        wire::MembersUpdate members{members_revision_, {}, members_complete_};
         for (const auto& [node, member] : members_) members.members.push_back(member);
         messages.push_back(std::move(members));
     }
--- a/src/explain/bounds.cpp
+++ b/src/explain/bounds.cpp
@@ -119,10 +119,10 @@
     };
     text += row("the rule (config_apply)", rule);
     text += row("worst case with " + std::to_string(silent) + " control planes silent",
-                milliseconds_of(intervals.worst_case));
-    text += row("a control plane whose proof is older is left", milliseconds_of(intervals.freshness_limit));
+                milliseconds_of(intervals.max_propagation));
+    text += row("a control plane whose proof is older is left", milliseconds_of(intervals.max_staleness));
     text +=
-        row("with an older proof nobody is given the whole view", milliseconds_of(intervals.freshness_limit));
+        row("with an older proof nobody is given the whole view", milliseconds_of(intervals.max_staleness));
     text += row("a read (GET /v1/config) lacks what is older than", 0.0);
     return text;
 }
--- a/src/gateway/control_plane_search.cpp
+++ b/src/gateway/control_plane_search.cpp
@@ -16,7 +16,7 @@
     : intervals_(intervals), next_(start) {}
 
 bool ControlPlaneSearch::fresh(const Session& session, runtime::Time now) const {
-    return session.fresh_at && now - *session.fresh_at < intervals_.freshness_limit;
+    return session.fresh_at && now - *session.fresh_at < intervals_.max_staleness;
 }
 
 bool ControlPlaneSearch::settled(runtime::Time now) const {
@@ -48,7 +48,7 @@
 
 void ControlPlaneSearch::give_up_late(runtime::Time now, Step& step) {
     for (const auto& [id, session] : sessions_) {
-        const runtime::Time limit = session.answered ? patience : intervals_.attempt_limit;
+        const runtime::Time limit = session.answered ? patience : intervals_.attempt_timeout;
         if (id != current_ && now - session.opened_at >= limit) step.close.push_back(id);
     }
 }
@@ -70,7 +70,7 @@
     }
     for (const SearchSession id : step.close) sessions_.erase(id);
     if (settled || step.adopt) return step;
-    const bool due = !last_attempt_at_ || now - *last_attempt_at_ >= intervals_.attempt_gap;
+    const bool due = !last_attempt_at_ || now - *last_attempt_at_ >= intervals_.attempt_interval;
     if (!due || attempts() >= most_attempts) return step;
     step.open = next_address(addresses);
     if (step.open) last_attempt_at_ = now;
@@ -78,8 +78,8 @@
 }
 
 runtime::Time ControlPlaneSearch::next_review(runtime::Time now) const {
-    if (!settled(now)) return now + intervals_.attempt_gap;
-    return *sessions_.at(current_).fresh_at + intervals_.freshness_limit;
+    if (!settled(now)) return now + intervals_.attempt_interval;
+    return *sessions_.at(current_).fresh_at + intervals_.max_staleness;
 }
 
 void ControlPlaneSearch::opened(SearchSession session, const std::string& address, runtime::Time now) {
--- a/src/gateway/control_session.cpp
+++ b/src/gateway/control_session.cpp
@@ -23,7 +23,7 @@
 ListLease::Limits lease_limits(const settings::Settings& settings) {
     const settings::Bounds& bounds = settings.invariants.bounds;
     const distribution::SearchIntervals search = search_intervals(settings);
-    return {runtime::tenths(bounds.drain), search.worst_case - search.freshness_limit,
+    return {runtime::tenths(bounds.drain), search.max_propagation - search.max_staleness,
             runtime::tenths(bounds.contact)};
 }
 
@@ -90,7 +90,7 @@
 void ControlSession::attempt(const std::string& address) {
     const auto endpoint = transport::parse_tcp_endpoint(address);
     if (!endpoint) return;
-    const transport::SessionId session = sessions_.open(*endpoint, *this, distribution::connect_limit);
+    const transport::SessionId session = sessions_.open(*endpoint, *this, distribution::connect_timeout);
     if (session) search_.opened(session, address, loop_.now());
 }
 
--- a/tests/control/instance_list.cpp
+++ b/tests/control/instance_list.cpp
@@ -1,4 +1,5 @@
-// Pages of the platform's list: read whole or not at all.
+// Parsing of the platform's instance pages. A page with any invalid part must be rejected as a whole:
+// instances left out of a partly read page would be taken for removed hosts.
 #include "control/instance_list.h"
 
 #include <catch2/catch.hpp>
@@ -24,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("a page gives its instances with their zones and the next page's token") {
+TEST_CASE("a page yields its instances with their zones and the token of the next page") {
     const auto page = parse_instance_page(R"({"next_token":"t 2","instances":{
         "zone-a":[{"id":"1","backend":"cart","address":"10.0.0.1:80","state":"ready","capacity":8,"cold_left":"1.5s"},
                   {"id":"2","backend":"web","address":"10.0.0.2:80","state":"draining","capacity":4}],
@@ -37,7 +38,7 @@
                     {"3", {"3", "web", "10.0.0.3:80", "zone-b", 2, wire::InstanceState::ready, 0}}});
 }
 
-TEST_CASE("a page may be empty and the last") {
+TEST_CASE("an empty page is valid, and so is one without a next token") {
     for (const char* const json :
          {R"({"instances":{}})", R"({"instances":{"zone-a":[]},"next_token":null})"}) {
         const auto page = parse_instance_page(json);
@@ -48,7 +49,7 @@
     CHECK(parse_instance_page(R"({"instances":{},"next_token":""})")->next_token == "");
 }
 
-TEST_CASE("what is no page isn't read in part") {
+TEST_CASE("an invalid page is rejected as a whole") {
     for (const char* const json :
          {"", " ", "null", "[]", "{}", R"({"instances":[]})", R"({"instances":null})",
           R"({"instances":{"z":{}}})", R"({"instances":{"z":[1]}})", R"({"instances":{"z":[)",
@@ -65,7 +66,7 @@
     }
 }
 
-TEST_CASE("an instance without the rest of its fields is read and takes no requests") {
+TEST_CASE("an instance without its optional fields is read as draining, with no capacity") {
     const wire::Instance bare = read_one(R"({"id":"i","backend":"b","address":"a"})");
     CHECK(bare.state == wire::InstanceState::draining);
     CHECK(bare.capacity == 0);
@@ -76,7 +77,7 @@
     CHECK(read_one(R"({"id":"i","backend":"b","address":"a","cold_left":5})").cold_left_ms == 0);
 }
 
-TEST_CASE("a capacity is cut to what can be told of it") {
+TEST_CASE("a capacity is truncated to an integer and clamped to the range of uint32") {
     CHECK(read_one(with_capacity("7.9")).capacity == 7);
     CHECK(read_one(with_capacity("-1")).capacity == 0);
     CHECK(read_one(with_capacity("-1e300")).capacity == 0);
@@ -85,8 +86,8 @@
     CHECK(read_one(with_capacity("\"8\"")).capacity == 0);
 }
 
-TEST_CASE("a page nested without end is refused, not followed") {
-    constexpr std::size_t deep = 2'000'000;
-    CHECK_FALSE(parse_instance_page(std::string(deep, '[')));
-    CHECK_FALSE(parse_instance_page(std::string(deep, '[') + std::string(deep, ']')));
+TEST_CASE("a page nested millions of levels deep is rejected without overflowing the stack") {
+    constexpr std::size_t depth = 2'000'000;
+    CHECK_FALSE(parse_instance_page(std::string(depth, '[')));
+    CHECK_FALSE(parse_instance_page(std::string(depth, '[') + std::string(depth, ']')));
 }
--- a/tests/control/state_machine.cpp
+++ b/tests/control/state_machine.cpp
@@ -1,4 +1,5 @@
-// The same commands give the same state and answers everywhere, also behind a snapshot.
+// The replicated state machine. Replicas that diverge would answer operators differently, so the same
+// commands must give the same state and outcomes, also after a restore from a snapshot.
 #include "control/state_machine.h"
 
 #include <catch2/catch.hpp>
@@ -8,8 +9,8 @@
 
 namespace {
 
-// Everything that a state machine tells, but for its memory of earlier versions.
-std::string told(const StateMachine& machine) {
+// The state machine's visible state, without the history of accepted versions.
+std::string visible_state(const StateMachine& machine) {
     msgpack::sbuffer buffer;
     msgpack::pack(buffer, machine.configuration());
     msgpack::pack(buffer, machine.evacuations());
@@ -34,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("of puts that race on one base the first in the log wins") {
+TEST_CASE("of two configurations proposed on the same base the first in the log is accepted") {
     StateMachine machine;
     CHECK(machine.apply(1, PutConfiguration{0, 1, "mine"}) == Outcome::accepted);
     CHECK(machine.apply(2, PutConfiguration{0, 1, "other"}) == Outcome::version_conflict);
@@ -52,7 +53,7 @@
     CHECK(machine.configuration().text == "second");
 }
 
-TEST_CASE("a put that is repeated is accepted again, now and when another is in force, and changes nothing") {
+TEST_CASE("a repeated proposal is accepted again, even with a later version in force, and changes nothing") {
     StateMachine machine = some_machine();
     CHECK(machine.apply(4, PutConfiguration{4, 9, "second"}) == Outcome::accepted);
     CHECK(machine.apply(5, PutConfiguration{0, 4, "first"}) == Outcome::accepted);
@@ -64,7 +65,7 @@
     CHECK_FALSE(machine.has_accepted(5, "first"));
 }
 
-TEST_CASE("of accepted versions the last 1024 are remembered") {
+TEST_CASE("the last 1024 accepted versions are kept") {
     StateMachine machine;
     for (std::uint32_t version = 1; version <= 1025; ++version) {
         REQUIRE(machine.apply(version, PutConfiguration{version - 1, version, "text"}) == Outcome::accepted);
@@ -74,7 +75,7 @@
     CHECK(machine.has_accepted(1025, "text"));
 }
 
-TEST_CASE("zones are evacuated and taken back, each command moves the index") {
+TEST_CASE("zones are evacuated and restored, and each command advances the index") {
     StateMachine machine;
     CHECK(machine.apply(3, SetEvacuation{"b", true}) == Outcome::accepted);
     machine.apply(4, SetEvacuation{"a", true});
@@ -87,7 +88,7 @@
     CHECK(machine.evacuations().index == 7);
 }
 
-TEST_CASE("commands come back from their bytes; others are none") {
+TEST_CASE("commands survive encoding and decoding; other bytes are rejected") {
     std::mt19937 random(1);
     for (int round = 0; round < 100; ++round) {
         const Command command = random_command(random);
@@ -99,26 +100,26 @@
             CHECK_FALSE(decode_command(bytes.substr(0, size)));
         CHECK_FALSE(decode_command(bytes + '\0'));
     }
-    CHECK_FALSE(decode_command("\x92\x02\x90"));  // no such kind
+    CHECK_FALSE(decode_command("\x92\x02\x90"));  // unknown command kind
     CHECK_FALSE(decode_command(std::string("\x92\0\xa1z", 4)));
 }
 
-TEST_CASE("a repeat of a version that is forgotten is neither acknowledged nor refused") {
+TEST_CASE("a repeated version that is no longer in the history is neither accepted nor refused") {
     StateMachine machine;
-    constexpr std::uint32_t more_than_remembered = 1030;
-    for (std::uint32_t version = 1; version <= more_than_remembered; ++version) {
+    constexpr std::uint32_t more_than_kept = 1030;
+    for (std::uint32_t version = 1; version <= more_than_kept; ++version) {
         REQUIRE(machine.apply(version, PutConfiguration{version - 1, version, "text"}) == Outcome::accepted);
     }
     StateMachine restored;
     REQUIRE(restored.restore(machine.snapshot()));
     for (StateMachine* const one : {&machine, &restored}) {
-        CHECK(one->apply(2000, PutConfiguration{0, 1, "text"}) == Outcome::forgotten);
+        CHECK(one->apply(2000, PutConfiguration{0, 1, "text"}) == Outcome::expired);
         CHECK(one->apply(2001, PutConfiguration{99, 100, "text"}) == Outcome::accepted);
         CHECK(one->apply(2002, PutConfiguration{99, 100, "other"}) == Outcome::version_conflict);
     }
 }
 
-TEST_CASE("a machine restored from a snapshot goes on as the one it was taken of") {
+TEST_CASE("a machine restored from a snapshot behaves like the original") {
     std::mt19937 random(2);
     for (int round = 0; round < 50; ++round) {
         StateMachine machine;
@@ -131,12 +132,12 @@
             const Command command = random_command(random);
             ++index;
             CHECK(restored.apply(index, command) == machine.apply(index, command));
-            CHECK(told(restored) == told(machine));
+            CHECK(visible_state(restored) == visible_state(machine));
         }
     }
 }
 
-TEST_CASE("a spoilt snapshot is refused and changes nothing") {
+TEST_CASE("a damaged snapshot is rejected and changes nothing") {
     StateMachine machine = some_machine();
     const std::string before = machine.snapshot();
     for (std::size_t size = 0; size < before.size(); ++size)
--- a/tests/control_plane/fleet_server.cpp
+++ b/tests/control_plane/fleet_server.cpp
@@ -1,4 +1,5 @@
-// What a control plane's answered stamps prove, between stand-ins on real sockets: a gateway, or the leader.
+// Staleness proofs by echoed stamps, with a stub gateway or a stub leader on real sockets. An echo sent
+// before the view, or a heartbeat without an echo taken as proof, would make stale state count as current.
 #include "control_plane/fleet_server.h"
 
 #include <catch2/catch.hpp>
@@ -8,25 +9,25 @@
 
 namespace {
 
-constexpr std::chrono::seconds patience{5};
+constexpr std::chrono::seconds test_timeout{5};
 constexpr std::uint16_t first_port = 36000;
 constexpr std::uint16_t last_port = 36800;
-constexpr runtime::Time freshness_limit = 2 * runtime::tenths_per_second;
+constexpr runtime::Time max_staleness = 2 * runtime::tenths_per_second;
 constexpr std::uint64_t stamp = 7;
 const asio::ip::address_v4 loopback = asio::ip::make_address_v4("127.0.0.1");
 
-class Log : public ReplicatedLog {
+class StubLog : public ReplicatedLog {
   public:
     bool leading = true;
     std::optional<runtime::Time> age = 0;
     std::optional<std::string> leader;
 
-    bool leads() const override { return leading; }
+    bool is_leader() const override { return leading; }
     std::uint64_t term() const override { return 1; }
     std::uint64_t commit_index() const override { return 0; }
     std::uint64_t applied_index() const override { return 0; }
     std::optional<runtime::Time> staleness() const override { return age; }
-    DiskState disk_state() const override { return DiskState::takes_writes; }
+    DiskState disk_state() const override { return DiskState::writable; }
     std::vector<MemberStatus> members() const override { return {}; }
     std::optional<std::string> leader_address() const override { return leader; }
     const control::StateMachine& state() const override { return state_; }
@@ -37,8 +38,8 @@
     control::StateMachine state_;
 };
 
-// The other end of the control plane's sessions; it says what it is told to.
-class Peer : public transport::SessionUser {
+// The stub at the other end of the control plane's sessions; records what it receives.
+class StubPeer : public transport::SessionUser {
   public:
     void session_opened(transport::SessionId id) override { session = id; }
     void session_received(transport::SessionId id, wire::Message&& message) override {
@@ -47,20 +48,20 @@
     }
     void session_closed(transport::SessionId) override { session = 0; }
 
-    // The age told with each answer to the stamp, and whether the list of hosts had come before it.
-    struct Answer {
+    // One echo of the stamp: the reported age of the instance list, and whether the list had arrived before.
+    struct Echo {
         std::uint32_t list_age_ms = 0;
-        bool behind_list = false;
+        bool after_list = false;
     };
-    std::vector<Answer> answers() const {
-        std::vector<Answer> found;
+    std::vector<Echo> echoes() const {
+        std::vector<Echo> echoes;
         bool listed = false;
         for (const wire::Message& message : received) {
             listed = listed || std::holds_alternative<wire::InstancesUpdate>(message);
             const auto* const heartbeat = std::get_if<wire::Heartbeat>(&message);
-            if (heartbeat && heartbeat->echo == stamp) found.push_back({heartbeat->list_age_ms, listed});
+            if (heartbeat && heartbeat->echo == stamp) echoes.push_back({heartbeat->list_age_ms, listed});
         }
-        return found;
+        return echoes;
     }
     std::uint64_t last_stamp() const {
         std::uint64_t last = 0;
@@ -74,92 +75,93 @@
     std::vector<wire::Message> received;
 };
 
-struct World {
-    World() : loop(64), own(loop), others(loop) {
+struct TestHarness {
+    TestHarness() : loop(64), own_sessions(loop), peer_sessions(loop) {
         wire::Member self;
         self.node = "control-plane";
-        fleet.emplace(loop, own, self, log, freshness_limit);
+        fleet.emplace(loop, own_sessions, self, log, max_staleness);
         while (port < last_port && fleet->listen({loopback, port})) ++port;
         REQUIRE(port < last_port);
     }
-    ~World() { loop.io().stop(); }
+    ~TestHarness() { loop.io().stop(); }
 
-    void until(const std::function<bool()>& reached) {
-        const auto end = std::chrono::steady_clock::now() + patience;
-        while (!reached() && std::chrono::steady_clock::now() < end) {
+    void wait_until(const std::function<bool()>& condition) {
+        const auto end = std::chrono::steady_clock::now() + test_timeout;
+        while (!condition() && std::chrono::steady_clock::now() < end) {
             loop.deadlines().run_passed();
             loop.io().run_one_until(std::min(loop.deadlines().next(), end));
         }
-        REQUIRE(reached());
+        REQUIRE(condition());
     }
-    // A gateway that says Hello and sends its stamp at once.
-    void gateway_joins() {
-        others.open({loopback, port}, peer, freshness_limit);
-        until([&] { return peer.session != 0; });
-        others.send(peer.session, wire::Hello{wire::protocol_version, {}});
-        wire::Heartbeat asked;
-        asked.stamp = stamp;
-        others.send(peer.session, asked);
+    // Connects a gateway that sends its Hello and its stamp at once.
+    void connect_gateway() {
+        peer_sessions.open({loopback, port}, peer, max_staleness);
+        wait_until([&] { return peer.session != 0; });
+        peer_sessions.send(peer.session, wire::Hello{wire::protocol_version, {}});
+        wire::Heartbeat request;
+        request.stamp = stamp;
+        peer_sessions.send(peer.session, request);
     }
+    // Makes this process a follower of the stub leader.
     void follow() {
         std::uint16_t leader = port + 1;
-        while (leader < last_port && others.listen({loopback, leader}, peer)) ++leader;
+        while (leader < last_port && peer_sessions.listen({loopback, leader}, peer)) ++leader;
         REQUIRE(leader < last_port);
         log.leading = false;
         log.leader = "127.0.0.1:" + std::to_string(leader);
         fleet->leadership_changed();
-        until([&] { return peer.last_stamp() != 0; });
+        wait_until([&] { return peer.last_stamp() != 0; });
     }
-    void leader_says(std::uint64_t echo, std::uint32_t list_age_ms) {
+    void leader_sends_heartbeat(std::uint64_t echo, std::uint32_t list_age_ms) {
         wire::Heartbeat heartbeat;
         heartbeat.echo = echo;
         heartbeat.list_age_ms = list_age_ms;
-        others.send(peer.session, heartbeat);
+        peer_sessions.send(peer.session, heartbeat);
     }
-    void read_list() { fleet->instances_read({{{"i", {}}}, loop.now(), 1}); }
+    void read_list() { fleet->instance_list_read({{{"i", {}}}, loop.now(), 1}); }
 
-    Log log;
+    StubLog log;
     runtime::EventLoop loop;
-    transport::Sessions own;
-    transport::Sessions others;
-    Peer peer;
+    transport::Sessions own_sessions;
+    transport::Sessions peer_sessions;
+    StubPeer peer;
     std::uint16_t port = first_port;
     std::optional<FleetServer> fleet;
 };
 
 }  // namespace
 
-TEST_CASE("a stamp is answered behind the view, not before it") {
-    World world;
-    world.read_list();
-    world.log.age.reset();  // not in step: nobody is given the view
-    world.gateway_joins();
-    world.until([&] { return world.peer.received.size() >= 2; });  // heartbeats alone
-    CHECK(world.peer.answers().empty());
-    world.log.age = 0;
-    world.until([&] { return !world.peer.answers().empty(); });
-    CHECK(world.peer.answers()[0].behind_list);
-    CHECK(world.peer.answers()[0].list_age_ms != wire::unknown_list_age_ms);
+TEST_CASE("a stamp is echoed after the view, not before it") {
+    TestHarness harness;
+    harness.read_list();
+    harness.log.age.reset();  // not in sync: the view is withheld
+    harness.connect_gateway();
+    harness.wait_until([&] { return harness.peer.received.size() >= 2; });  // heartbeats only
+    CHECK(harness.peer.echoes().empty());
+    harness.log.age = 0;
+    harness.wait_until([&] { return !harness.peer.echoes().empty(); });
+    CHECK(harness.peer.echoes()[0].after_list);
+    CHECK(harness.peer.echoes()[0].list_age_ms != wire::unknown_list_age_ms);
 }
 
-TEST_CASE("while no list is known a stamp gets no age, and one as soon as there is a list") {
-    World world;
-    world.gateway_joins();
-    world.until([&] { return world.peer.answers().size() == 1; });
-    CHECK(world.peer.answers()[0].list_age_ms == wire::unknown_list_age_ms);
-    world.read_list();
-    world.until([&] { return world.peer.answers().size() == 2; });
-    CHECK(world.peer.answers()[1].behind_list);
-    CHECK(world.peer.answers()[1].list_age_ms < 1000);
+TEST_CASE("without an instance list a stamp is echoed without an age, and again as soon as there is a list") {
+    TestHarness harness;
+    harness.connect_gateway();
+    harness.wait_until([&] { return harness.peer.echoes().size() == 1; });
+    CHECK(harness.peer.echoes()[0].list_age_ms == wire::unknown_list_age_ms);
+    harness.read_list();
+    harness.wait_until([&] { return harness.peer.echoes().size() == 2; });
+    CHECK(harness.peer.echoes()[1].after_list);
+    CHECK(harness.peer.echoes()[1].list_age_ms < 1000);
 }
 
-TEST_CASE("what the leader tells proves nothing but with the own stamp") {
-    World world;
-    world.follow();
-    world.leader_says(0, 0);
-    world.leader_says(0, 0);
-    world.until([&] { return world.peer.received.size() >= 4; });
-    CHECK(*world.fleet->staleness() > freshness_limit);
-    world.leader_says(world.peer.last_stamp(), wire::unknown_list_age_ms);
-    world.until([&] { return *world.fleet->staleness() < freshness_limit; });
+TEST_CASE("a heartbeat of the leader proves nothing unless it echoes this process's stamp") {
+    TestHarness harness;
+    harness.follow();
+    harness.leader_sends_heartbeat(0, 0);
+    harness.leader_sends_heartbeat(0, 0);
+    harness.wait_until([&] { return harness.peer.received.size() >= 4; });
+    CHECK(*harness.fleet->staleness() > max_staleness);
+    harness.leader_sends_heartbeat(harness.peer.last_stamp(), wire::unknown_list_age_ms);
+    harness.wait_until([&] { return *harness.fleet->staleness() < max_staleness; });
 }
--- a/tests/control_plane/replica_disk.cpp
+++ b/tests/control_plane/replica_disk.cpp
@@ -1,5 +1,6 @@
-// A replica's disk that cannot be read, is not whole, or refuses writes and takes them again, on a real
-// folder.
+// Failures of the replica's disk on a real directory: a store that cannot be read must be kept, since it may
+// hold acknowledged entries; a damaged one must be discarded and reported as such, so that the replica gets a
+// new id.
 #include "control_plane/replica_disk.h"
 
 #include <catch2/catch.hpp>
@@ -14,36 +15,38 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::chrono::milliseconds patience{5'000};
+constexpr std::chrono::milliseconds test_timeout{5'000};
 constexpr std::chrono::milliseconds longer_than_one_retry{700};
 const consensus::Replica self{7, "10.0.0.1:7000"};
 
-class Folder {
+class TemporaryDirectory {
   public:
-    Folder() : path_(fs::temp_directory_path() / ("replica-disk-" + std::to_string(::getpid()))) {
+    TemporaryDirectory() : path_(fs::temp_directory_path() / ("replica-disk-" + std::to_string(::getpid()))) {
         fs::remove_all(path_);
     }
-    ~Folder() { fs::remove_all(path_); }
+    ~TemporaryDirectory() { fs::remove_all(path_); }
     const fs::path& path() const { return path_; }
 
   private:
     fs::path path_;
 };
 
-struct Owner : DiskUser {
-    explicit Owner(const fs::path& folder) : loop(16), disk(loop, *this, folder.string()) { disk.open(); }
+struct StubOwner : DiskObserver {
+    explicit StubOwner(const fs::path& directory) : loop(16), disk(loop, *this, directory.string()) {
+        disk.open();
+    }
 
     void disk_opened(DiskContent what, consensus::PersistentState state) override {
         content = what;
         opened_as = state.self.id;
     }
     void disk_written(consensus::WriteSequence sequence) override { written = sequence; }
-    void disk_refused() override { ++refusals; }
+    void disk_failed() override { ++failures; }
     void disk_recovered() override { ++recoveries; }
 
-    bool until(const std::function<bool()>& reached, std::chrono::milliseconds bound = patience) {
+    bool wait_until(const std::function<bool()>& condition, std::chrono::milliseconds bound = test_timeout) {
         const auto end = std::chrono::steady_clock::now() + bound;
-        while (!reached()) {
+        while (!condition()) {
             if (std::chrono::steady_clock::now() > end) return false;
             loop.deadlines().turn();
             loop.deadlines().run_passed();
@@ -51,8 +54,8 @@
         }
         return true;
     }
-    bool opens() {
-        return until([this] { return content.has_value(); });
+    bool wait_until_opened() {
+        return wait_until([this] { return content.has_value(); });
     }
     void write(consensus::WriteSequence sequence, consensus::Term term) {
         consensus::Write write;
@@ -66,51 +69,51 @@
     std::optional<DiskContent> content;
     consensus::ReplicaId opened_as = 0;
     consensus::WriteSequence written = 0;
-    int refusals = 0;
+    int failures = 0;
     int recoveries = 0;
 };
 
 }  // namespace
 
-TEST_CASE("a disk that cannot be read is asked again, and nothing on it is thrown away") {
-    Folder folder;
-    fs::create_directories(folder.path());
-    const fs::path store = folder.path() / "replica";
+TEST_CASE("a store that cannot be read is retried and never discarded") {
+    TemporaryDirectory directory;
+    fs::create_directories(directory.path());
+    const fs::path store = directory.path() / "replica";
     {
-        Owner owner(store);
-        REQUIRE(owner.opens());
+        StubOwner owner(store);
+        REQUIRE(owner.wait_until_opened());
         CHECK(owner.content == DiskContent::empty);
         owner.write(1, 3);
-        REQUIRE(owner.until([&] { return owner.written == 1; }));
+        REQUIRE(owner.wait_until([&] { return owner.written == 1; }));
     }
-    // Away, with a file in its place: every access is an i/o error.
-    const fs::path away = folder.path() / "away";
-    fs::rename(store, away);
+    // Moved away, with a regular file in its place: every access is an I/O error.
+    const fs::path moved = directory.path() / "away";
+    fs::rename(store, moved);
     std::ofstream(store) << "no folder";
-    Owner owner(store);
-    CHECK_FALSE(owner.until([&] { return owner.content.has_value(); }, longer_than_one_retry));
+    StubOwner owner(store);
+    CHECK_FALSE(owner.wait_until([&] { return owner.content.has_value(); }, longer_than_one_retry));
     fs::remove(store);
-    fs::rename(away, store);
-    REQUIRE(owner.opens());
+    fs::rename(moved, store);
+    REQUIRE(owner.wait_until_opened());
     CHECK(owner.content == DiskContent::replica);
     CHECK(owner.opened_as == self.id);
 }
 
-TEST_CASE("a store that is not whole is discarded, and said to have been another's") {
-    Folder folder;
-    fs::create_directories(folder.path());
-    const fs::path store = folder.path() / "replica";
+TEST_CASE("a damaged store is discarded and reported as discarded") {
+    TemporaryDirectory directory;
+    fs::create_directories(directory.path());
+    const fs::path store = directory.path() / "replica";
     {
-        Owner owner(store);
-        REQUIRE(owner.opens());
+        StubOwner owner(store);
+        REQUIRE(owner.wait_until_opened());
         owner.write(1, 3);
-        REQUIRE(owner.until([&] { return owner.written == 1; }));
+        REQUIRE(owner.wait_until([&] { return owner.written == 1; }));
     }
     fs::remove(store / "CURRENT");
-    Owner owner(store);
-    REQUIRE(owner.opens());
+    StubOwner owner(store);
+    REQUIRE(owner.wait_until_opened());
     CHECK(owner.content == DiskContent::discarded);
     CHECK(owner.opened_as == 0);
     owner.write(1, 1);
-    CHECK(owner.until([&] { return owner.written == 1; }));
+    CHECK(owner.wait_until([&] { return owner.written == 1; }));
 }
--- a/tests/distribution/view.cpp
+++ b/tests/distribution/view.cpp
@@ -1,4 +1,5 @@
-// A view only moves forward, whatever order its updates come in and however often.
+// A view never goes back, whatever the order of its updates and however often they are repeated: processes
+// that receive them over different paths must end in the same state.
 #include "distribution/view.h"
 
 #include <algorithm>
@@ -33,16 +34,16 @@
     return view.apply(std::get<wire::MembersUpdate>(message));
 }
 
-std::string told(const View& view) {
+std::string encoded(const View& view) {
     std::string bytes;
     msgpack::sbuffer buffer;
-    for (const wire::Message& message : view.whole()) {
+    for (const wire::Message& message : view.snapshot()) {
         std::visit([&](const auto& fields) { msgpack::pack(buffer, fields); }, message);
     }
     return {buffer.data(), buffer.size()};
 }
 
-// Whole updates of every kind, each revision once.
+// Complete updates of every kind, each revision once.
 std::vector<wire::Message> some_updates(std::mt19937& random) {
     std::vector<wire::Message> updates;
     for (std::uint32_t number = 1; number <= 6; ++number) {
@@ -58,14 +59,14 @@
 
 }  // namespace
 
-TEST_CASE("a view that knows nothing tells nothing") {
+TEST_CASE("the snapshot of an empty view is empty") {
     const View view;
-    CHECK(view.whole().empty());
+    CHECK(view.snapshot().empty());
     CHECK(view.configuration().version == 0);
     CHECK_FALSE(view.evacuated("a"));
 }
 
-TEST_CASE("whole updates in any order and any number of times give the same view") {
+TEST_CASE("complete updates in any order and any number of times give the same view") {
     std::mt19937 random(3);
     for (int round = 0; round < 50; ++round) {
         std::vector<wire::Message> updates = some_updates(random);
@@ -81,21 +82,21 @@
             CHECK(shuffled.instances_revision() >= highest);
             highest = shuffled.instances_revision();
         }
-        CHECK(told(shuffled) == told(in_order));
+        CHECK(encoded(shuffled) == encoded(in_order));
         for (const wire::Message& update : updates) CHECK_FALSE(apply(shuffled, update).any());
     }
 }
 
-TEST_CASE("what a view tells brings another one to the same") {
+TEST_CASE("a view's snapshot brings an empty view to the same state") {
     std::mt19937 random(4);
     View view;
     for (const wire::Message& update : some_updates(random)) apply(view, update);
     View other;
-    for (const wire::Message& message : view.whole()) apply(other, message);
-    CHECK(told(other) == told(view));
+    for (const wire::Message& message : view.snapshot()) apply(other, message);
+    CHECK(encoded(other) == encoded(view));
 }
 
-TEST_CASE("a leader's higher term goes before any number of an earlier term") {
+TEST_CASE("a revision of a higher term is newer than any revision of a lower term") {
     View view;
     CHECK(view.apply(wire::MembersUpdate{{1, 900}, {member("old")}}).members);
     CHECK(view.apply(wire::MembersUpdate{{2, 1}, {member("new")}}).members);
@@ -104,7 +105,7 @@
     CHECK_FALSE(view.members().contains("old"));
 }
 
-TEST_CASE("an update that changes nothing of members or evacuations moves the view without a change") {
+TEST_CASE("an update with the same members or evacuations advances the revision and reports no change") {
     View view;
     CHECK(view.apply(wire::EvacuationsUpdate{1, {"a", "b"}}).evacuations);
     CHECK_FALSE(view.apply(wire::EvacuationsUpdate{2, {"b", "a"}}).any());
@@ -117,32 +118,32 @@
     CHECK(view.members_revision() == wire::Revision{1, 2});
 }
 
-TEST_CASE("a list of members that is not whole takes nobody out, and the whole one does") {
+TEST_CASE("an incomplete member list removes nobody, a complete one does") {
     View view;
-    CHECK_FALSE(view.members_whole());
+    CHECK_FALSE(view.members_complete());
     view.apply(wire::MembersUpdate{{1, 1}, {member("a"), member("b"), member("c")}, true});
-    CHECK(view.members_whole());
+    CHECK(view.members_complete());
     CHECK(view.apply(wire::MembersUpdate{{2, 1}, {member("b", false), member("d")}, false}).members);
-    CHECK_FALSE(view.members_whole());
+    CHECK_FALSE(view.members_complete());
     CHECK(view.members() ==
           std::map<std::string, wire::Member>{
               {"a", member("a")}, {"b", member("b", false)}, {"c", member("c")}, {"d", member("d")}});
     View late;
-    for (const wire::Message& message : view.whole()) apply(late, message);
-    CHECK(told(late) == told(view));
-    CHECK_FALSE(late.members_whole());
+    for (const wire::Message& message : view.snapshot()) apply(late, message);
+    CHECK(encoded(late) == encoded(view));
+    CHECK_FALSE(late.members_complete());
     CHECK(view.apply(wire::MembersUpdate{{2, 2}, {member("b"), member("d")}, true}).members);
     CHECK(view.members().size() == 2);
 }
 
-TEST_CASE("that members are whole is news, also where the same ones are named") {
+TEST_CASE("becoming complete is a change of the members even if the list is the same") {
     View view;
     view.apply(wire::MembersUpdate{{1, 1}, {member("a")}, false});
     CHECK(view.apply(wire::MembersUpdate{{1, 2}, {member("a")}, true}).members);
     CHECK_FALSE(view.apply(wire::MembersUpdate{{1, 3}, {member("a")}, true}).any());
 }
 
-TEST_CASE("an update in part changes what it names, a whole one everything") {
+TEST_CASE("a partial instance update changes the instances it names, a full one replaces the list") {
     View view;
     view.apply(wire::InstancesUpdate{{1, 1}, true, {instance("a"), instance("b")}, {}});
     view.apply(wire::InstancesUpdate{{1, 2}, false, {instance("a", 5), instance("c")}, {"b", "unknown"}});
@@ -152,7 +153,7 @@
     CHECK(view.instances().size() == 1);
 }
 
-TEST_CASE("a difference turns one list of instances into the other and names nothing else") {
+TEST_CASE("a difference turns one instance list into the other and names nothing else") {
     std::mt19937 random(5);
     const auto some_list = [&] {
         std::map<std::string, wire::Instance> list;
--- a/tests/gateway/control_plane_search.cpp
+++ b/tests/gateway/control_plane_search.cpp
@@ -130,8 +130,8 @@
 
 TEST_CASE("one attempt at a time, each waited for to its end, would break the bound") {
     distribution::SearchIntervals one_by_one = intervals();
-    one_by_one.attempt_gap = distribution::silence_limit;
-    one_by_one.attempt_limit = distribution::silence_limit;
+    one_by_one.attempt_interval = distribution::unresponsive_timeout;
+    one_by_one.attempt_timeout = distribution::unresponsive_timeout;
     CHECK(longest_lack(one_by_one, Kind::silent, Kind::silent, 1, 0) > 2'500 * ms);
 }
 
