--- a/tests/gateway_sockets/world.h
+++ b/tests/gateway_sockets/harness.h
@@ -1,5 +1,5 @@
-// A gateway's sockets between stand-in clients and one stand-in host, all in one event loop. Waits are for a
-// state and bounded; nothing sleeps.
+// Test harness: a gateway's proxy between stub clients and one stub host, all in one event loop. Tests wait
+// for a state, with a time limit; nothing sleeps.
 #pragma once
 
 #include <unistd.h>
@@ -12,25 +12,27 @@
 
 namespace dewweir::gateway::tests {
 
-constexpr std::chrono::seconds patience{5};
+// Longest wait for a state.
+constexpr std::chrono::seconds wait_limit{5};
 
-class World {
+class GatewayHarness {
   public:
-    explicit World(const configuration::ClientLimits& limits = {}, const RetryBound& retries = {})
-        : loop_(most_connections),
+    explicit GatewayHarness(const configuration::ClientLimits& limits = {}, const RetryBound& retries = {})
+        : loop_(max_connections),
           quotas_(loop_, "gateway", {}),
           proxy_(loop_, quotas_, options(retries)),
           host_(loop_.io(), {asio::ip::make_address_v4("127.0.0.1"), 0}) {
         accept();
-        REQUIRE_FALSE(proxy_.front().listen(front_address()));
+        REQUIRE_FALSE(proxy_.front_end().listen(front_end_address()));
         configure(limits);
         add_host();
     }
-    // Handlers of the peers name them: none may run any more.
-    ~World() { loop_.io().stop(); }
+    // The peers' handlers refer to the peers, so none of them may run any more.
+    ~GatewayHarness() { loop_.io().stop(); }
 
-    bool until(const std::function<bool()>& reached) {
-        const auto end = std::chrono::steady_clock::now() + patience;
+    // Runs the event loop until the state is reached. Returns false at the time limit.
+    bool run_until(const std::function<bool()>& reached) {
+        const auto end = std::chrono::steady_clock::now() + wait_limit;
         while (!reached()) {
             if (std::chrono::steady_clock::now() > end) return false;
             loop_.deadlines().run_passed();
@@ -40,9 +42,9 @@
         return true;
     }
 
-    // One step of the loop at a time, until the state is reached and not a step further.
+    // Runs one handler at a time until the state is reached, and no handler after that.
     void step_until(const std::function<bool()>& reached) {
-        const auto end = std::chrono::steady_clock::now() + patience;
+        const auto end = std::chrono::steady_clock::now() + wait_limit;
         while (!reached()) {
             REQUIRE(std::chrono::steady_clock::now() < end);
             loop_.deadlines().run_passed();
@@ -50,14 +52,14 @@
         }
     }
 
-    // The lease on the list of hosts ends, and nothing but the clock tells of it.
-    void end_list_lease() {
+    // Lets the lease on the list of hosts expire by the clock alone.
+    void expire_list_lease() {
         const runtime::Time end = loop_.now();
         proxy_.set_list_valid_until(end);
         while (loop_.now() <= end) loop_.deadlines().turn();
     }
 
-    // Goes on until no socket of this process has anything to do.
+    // Runs until no socket of this process is ready.
     void settle() {
         constexpr int quiet_turns = 200;
         for (int quiet = 0; quiet < quiet_turns; ++quiet) {
@@ -68,47 +70,47 @@
 
     Peer& connect() {
         asio::ip::tcp::socket socket(loop_.io());
-        socket.connect(front_address());
+        socket.connect(front_end_address());
         clients_.push_back(std::make_unique<Peer>(std::move(socket)));
         return *clients_.back();
     }
-    // The host's side of its connection `number`, once the gateway has opened it.
+    // The host's side of its connection `number`; waits until the gateway has opened it.
     Peer& host(std::size_t number = 0) {
-        REQUIRE(until([&] { return host_connections_.size() > number; }));
+        REQUIRE(run_until([&] { return host_connections_.size() > number; }));
         return *host_connections_[number];
     }
-    // The host's connection `number` has received this.
-    Peer& host_has(std::string_view text, std::size_t number = 0) {
+    // Waits until the host's connection `number` has received `text`.
+    Peer& await_host(std::string_view text, std::size_t number = 0) {
         Peer& connection = host(number);
         INFO("host: " << connection.received.substr(0, 2000));
-        REQUIRE(until([&] { return connection.has(text); }));
+        REQUIRE(run_until([&] { return connection.has(text); }));
         return connection;
     }
-    void client_has(Peer& client, std::string_view text) {
-        const bool reached = until([&] { return client.has(text); });
+    void await_client(Peer& client, std::string_view text) {
+        const bool reached = run_until([&] { return client.has(text); });
         INFO("client: " << client.received.substr(0, 2000));
         REQUIRE(reached);
     }
-    void client_ends(Peer& client) {
-        REQUIRE(until([&] { return client.ended; }));
+    void await_client_close(Peer& client) {
+        REQUIRE(run_until([&] { return client.ended; }));
     }
     std::size_t host_connections() const { return host_connections_.size(); }
-    // The list says that the host leaves, or that it is back.
-    void host_leaves() {
+    // Lists the host as draining, or as ready again.
+    void drain_host() {
         instance_.state = wire::InstanceState::draining;
         list_host();
     }
-    void host_stays() {
+    void restore_host() {
         instance_.state = wire::InstanceState::ready;
         list_host();
     }
-    // Its zone is evacuated.
-    void evacuate() { proxy_.view_changed(view_, view_.apply(wire::EvacuationsUpdate{1, {"zone"}})); }
+    // Evacuates the host's zone.
+    void evacuate_zone() { proxy_.view_changed(view_, view_.apply(wire::EvacuationsUpdate{1, {"zone"}})); }
     runtime::EventLoop& loop() { return loop_; }
     Proxy& proxy() { return proxy_; }
 
   private:
-    static constexpr std::size_t most_connections = 1000;
+    static constexpr std::size_t max_connections = 1000;
 
     static Proxy::Options options(const RetryBound& retries) {
         Proxy::Options options;
@@ -117,23 +119,23 @@
         options.locality = {"zone", "region", {{"zone", "region"}}};
         return options;
     }
-    // Of this process alone, so that test programs can run side by side.
-    static asio::ip::tcp::endpoint front_address() {
+    // Differs between processes, so that test programs can run in parallel.
+    static asio::ip::tcp::endpoint front_end_address() {
         constexpr std::uint32_t first = (127u << 24) + (1u << 22);
         constexpr std::uint16_t port = 18080;
         return {asio::ip::address_v4(first + static_cast<std::uint32_t>(getpid())), port};
     }
     void accept() {
-        host_.async_accept([this](const std::error_code& fault, asio::ip::tcp::socket socket) {
-            if (fault) return;
+        host_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
+            if (error) return;
             host_connections_.push_back(std::make_unique<Peer>(std::move(socket)));
             accept();
         });
     }
     void configure(const configuration::ClientLimits& limits) {
         using configuration::RouteClass;
-        configuration::Configuration made;
-        made.limits = limits;
+        configuration::Configuration created;
+        created.limits = limits;
         for (const RouteClass route_class : {RouteClass::idempotent, RouteClass::mutating}) {
             const bool idempotent = route_class == RouteClass::idempotent;
             configuration::Route route;
@@ -145,13 +147,13 @@
             route.target_latency = std::chrono::seconds{20};
             route.backends = {{"shop", 1.0}};
             route.max_tries = 2;
-            made.routes.push_back(route);
+            created.routes.push_back(route);
         }
         configuration::Service service;
         service.name = "shop";
         service.max_conns = 100;
-        made.services = {service};
-        proxy_.configure(std::make_shared<const configuration::Configuration>(std::move(made)));
+        created.services = {service};
+        proxy_.configure(std::make_shared<const configuration::Configuration>(std::move(created)));
     }
     void add_host() {
         instance_.id = "i-1";
@@ -177,29 +179,29 @@
     std::vector<std::unique_ptr<Peer>> clients_;
 };
 
-// ---- texts ----
+// ---- HTTP texts ----
 
-// A request's head; more fields, each with its line's end, and the empty line follow.
-inline std::string head_of(const std::string& method, const std::string& path,
-                           const std::string& attempt_id) {
+// Start of a request head. Further header lines, each with its line end, and the empty line must follow.
+inline std::string request_head(const std::string& method, const std::string& path,
+                                const std::string& attempt_id) {
     return method + " " + path + " HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: " + attempt_id + "\r\n";
 }
 inline std::string get(const std::string& attempt_id, const std::string& fields = "") {
-    return head_of("GET", "/read/x", attempt_id) + fields + "\r\n";
+    return request_head("GET", "/read/x", attempt_id) + fields + "\r\n";
 }
 inline std::string post(const std::string& attempt_id, const std::string& body,
                         const std::string& fields = "") {
-    return head_of("POST", "/write/x", attempt_id) + fields +
+    return request_head("POST", "/write/x", attempt_id) + fields +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-// An answer's head without its framing.
-inline std::string answer_head(const std::string& status, const std::string& attempt_id) {
+// Start of a response head, without the fields that state the body's length.
+inline std::string response_head(const std::string& status, const std::string& attempt_id) {
     return "HTTP/1.1 " + status + "\r\nX-Attempt-Id: " + attempt_id + "\r\nX-Server-Seal: seal-" +
            attempt_id + "\r\n";
 }
-inline std::string answer(const std::string& status, const std::string& attempt_id, const std::string& body,
-                          const std::string& fields = "") {
-    return answer_head(status, attempt_id) + fields + "Content-Length: " + std::to_string(body.size()) +
+inline std::string response(const std::string& status, const std::string& attempt_id, const std::string& body,
+                            const std::string& fields = "") {
+    return response_head(status, attempt_id) + fields + "Content-Length: " + std::to_string(body.size()) +
            "\r\n\r\n" + body;
 }
 
--- a/tests/gateway_sockets/leaving_hosts.cpp
+++ b/tests/gateway_sockets/leaving_hosts.cpp
@@ -1,93 +1,93 @@
-// A host that leaves while a request for it waits for its connection: the decision was made on a list that is
-// no longer the latest when the first byte could be written.
-#include "world.h"
+// A host starts draining while a request for it waits for its connection: the host was chosen by a list that
+// is outdated by the time the first byte can be written.
+#include "harness.h"
 
 using namespace dewweir::gateway::tests;
 
 namespace {
 
-constexpr dewweir::runtime::Time no_end = std::numeric_limits<dewweir::runtime::Time>::max();
+constexpr dewweir::runtime::Time no_expiry = std::numeric_limits<dewweir::runtime::Time>::max();
 
-// The client's request has been given to the host, and its connection is not up yet.
-void until_connecting(World& world) {
-    world.step_until([&] { return world.proxy().connecting() == 1; });
+// Runs until the client's request waits for a connection to the host.
+void run_until_connecting(GatewayHarness& harness) {
+    harness.step_until([&] { return harness.proxy().connecting() == 1; });
 }
 
-void nothing_reaches_the_host(World& world) {
-    world.settle();
-    REQUIRE(world.proxy().connecting() == 0);
-    if (world.host_connections() > 0) CHECK(world.host().received.empty());
+void check_nothing_reaches_host(GatewayHarness& harness) {
+    harness.settle();
+    REQUIRE(harness.proxy().connecting() == 0);
+    if (harness.host_connections() > 0) CHECK(harness.host().received.empty());
 }
 
 }  // namespace
 
-TEST_CASE("A request that waits for its connection isn't sent to a host that leaves by then") {
-    World world;
-    world.connect().send(get("a1"));
-    until_connecting(world);
-    world.host_leaves();
-    nothing_reaches_the_host(world);
+TEST_CASE("A request that waits for its connection is not sent to a host that has started draining") {
+    GatewayHarness harness;
+    harness.connect().send(get("a1"));
+    run_until_connecting(harness);
+    harness.drain_host();
+    check_nothing_reaches_host(harness);
 }
 
-TEST_CASE("Nor to a host whose zone is evacuated by then") {
-    World world;
-    world.connect().send(get("a1"));
-    until_connecting(world);
-    world.evacuate();
-    nothing_reaches_the_host(world);
+TEST_CASE("A request that waits for its connection is not sent to a host whose zone has been evacuated") {
+    GatewayHarness harness;
+    harness.connect().send(get("a1"));
+    run_until_connecting(harness);
+    harness.evacuate_zone();
+    check_nothing_reaches_host(harness);
 }
 
-TEST_CASE("It goes out once there is a host again, and once only") {
-    World world;
-    Peer& client = world.connect();
+TEST_CASE("A withdrawn request is sent once, when a host is available again") {
+    GatewayHarness harness;
+    Peer& client = harness.connect();
     client.send(post("a1", "hello"));
-    until_connecting(world);
-    world.host_leaves();
-    nothing_reaches_the_host(world);
-    world.host_stays();
-    const std::size_t last = world.host_connections();
-    Peer& host = world.host_has("\r\n\r\nhello", last);
-    host.send(answer("200 OK", "a1", "done"));
-    world.client_has(client, "done");
+    run_until_connecting(harness);
+    harness.drain_host();
+    check_nothing_reaches_host(harness);
+    harness.restore_host();
+    const std::size_t last = harness.host_connections();
+    Peer& host = harness.await_host("\r\n\r\nhello", last);
+    host.send(response("200 OK", "a1", "done"));
+    harness.await_client(client, "done");
     CHECK(host.count("X-Attempt-Id") == 1);
 }
 
-TEST_CASE("While the list of hosts is too old nothing is sent by it, and clients are told to come back") {
-    World world;
-    Peer& waiting = world.connect();
+TEST_CASE("While the lease on the list has expired nothing is sent, and clients get a Retry-After") {
+    GatewayHarness harness;
+    Peer& waiting = harness.connect();
     waiting.send(post("a1", "hello"));
-    until_connecting(world);
-    world.proxy().set_list_valid_until(0);
-    nothing_reaches_the_host(world);
-    world.client_has(waiting, "HTTP/1.1 503 ");
-    Peer& client = world.connect();
+    run_until_connecting(harness);
+    harness.proxy().set_list_valid_until(0);
+    check_nothing_reaches_host(harness);
+    harness.await_client(waiting, "HTTP/1.1 503 ");
+    Peer& client = harness.connect();
     client.send(post("a2", "hello"));
-    world.client_has(client, "HTTP/1.1 503 ");
+    harness.await_client(client, "HTTP/1.1 503 ");
     CHECK(client.has("Retry-After: "));
-    world.proxy().set_list_valid_until(no_end);
+    harness.proxy().set_list_valid_until(no_expiry);
     client.send(post("a3", "hello"));
-    world.until([&] { return world.host_connections() > 1; });
-    const std::size_t last = world.host_connections() - 1;
-    world.host_has("X-Attempt-Id: a3", last).send(answer("200 OK", "a3", "done"));
-    world.client_has(client, "done");
+    harness.run_until([&] { return harness.host_connections() > 1; });
+    const std::size_t last = harness.host_connections() - 1;
+    harness.await_host("X-Attempt-Id: a3", last).send(response("200 OK", "a3", "done"));
+    harness.await_client(client, "done");
 }
 
-TEST_CASE("A request whose connection stands after the end of the list's lease isn't written") {
-    World world;
-    Peer& client = world.connect();
+TEST_CASE("A request whose connection is established after the end of the lease is not written") {
+    GatewayHarness harness;
+    Peer& client = harness.connect();
     client.send(post("a1", "hello"));
-    until_connecting(world);
-    world.end_list_lease();
-    nothing_reaches_the_host(world);
-    world.client_has(client, "HTTP/1.1 503 ");
+    run_until_connecting(harness);
+    harness.expire_list_lease();
+    check_nothing_reaches_host(harness);
+    harness.await_client(client, "HTTP/1.1 503 ");
 }
 
-TEST_CASE("What a leaving host has of a request is finished there") {
-    World world;
-    Peer& client = world.connect();
+TEST_CASE("A request that has reached a host is completed there after the host starts draining") {
+    GatewayHarness harness;
+    Peer& client = harness.connect();
     client.send(post("a1", "hello"));
-    Peer& host = world.host_has("\r\n\r\nhello");
-    world.host_leaves();
-    host.send(answer("200 OK", "a1", "done"));
-    world.client_has(client, "done");
+    Peer& host = harness.await_host("\r\n\r\nhello");
+    harness.drain_host();
+    host.send(response("200 OK", "a1", "done"));
+    harness.await_client(client, "done");
 }
--- a/tests/gateway_sockets/peer.h
+++ b/tests/gateway_sockets/peer.h
@@ -1,4 +1,4 @@
-// The far end of one connection: a stand-in client or host, driven by the gateway's own event loop.
+// The remote end of one connection: a stub client or host, driven by the gateway's own event loop.
 #pragma once
 
 #include <array>
@@ -18,7 +18,7 @@
         unsent_.push_back(std::move(text));
         if (unsent_.size() == 1) write();
     }
-    // Ends this side's sending and reads on.
+    // Shuts down the sending side and continues reading.
     void end_sending() { socket_.shutdown(asio::ip::tcp::socket::shutdown_send); }
     void close() { socket_.close(); }
     void reset() {
@@ -26,15 +26,15 @@
         socket_.close();
     }
     void pause() { paused_ = true; }
-    void read_on() {
+    void resume() {
         if (!std::exchange(paused_, false)) return;
         if (!reading_) read();
     }
 
-    std::string received;  // all that has come, while `keep` holds
+    std::string received;  // all received bytes, if `keep_received`
     std::size_t received_bytes = 0;
-    bool keep = true;
-    bool ended = false;  // by the other side: properly or by a reset
+    bool keep_received = true;
+    bool ended = false;  // by the other side, orderly or by a reset
     bool was_reset = false;
     std::size_t unsent() const { return unsent_.size(); }
 
@@ -49,14 +49,14 @@
     void read() {
         reading_ = true;
         socket_.async_read_some(asio::buffer(buffer_),
-                                [this](const std::error_code& fault, std::size_t size) {
+                                [this](const std::error_code& error, std::size_t size) {
                                     reading_ = false;
-                                    if (fault == asio::error::operation_aborted) return;
+                                    if (error == asio::error::operation_aborted) return;
                                     received_bytes += size;
-                                    if (keep) received.append(buffer_.data(), size);
-                                    if (fault) {
+                                    if (keep_received) received.append(buffer_.data(), size);
+                                    if (error) {
                                         ended = true;
-                                        was_reset = fault != asio::error::eof;
+                                        was_reset = error != asio::error::eof;
                                         return;
                                     }
                                     if (!paused_) read();
@@ -64,10 +64,10 @@
     }
     void write() {
         asio::async_write(socket_, asio::buffer(unsent_.front()),
-                          [this](const std::error_code& fault, std::size_t) {
-                              if (fault == asio::error::operation_aborted) return;
+                          [this](const std::error_code& error, std::size_t) {
+                              if (error == asio::error::operation_aborted) return;
                               unsent_.pop_front();
-                              if (!fault && !unsent_.empty()) write();
+                              if (!error && !unsent_.empty()) write();
                           });
     }
 
