--- a/src/explain/bounds.cpp
+++ b/src/explain/bounds.cpp
@@ -72,7 +72,7 @@
 
 std::string service_line(const configuration::Service& service, const gateway::ColdBound& bound) {
     if (!service.cold_per_s) return "  not told: as if 0\n";
-    const gateway::ColdRate rate = gateway::rate_of_owner(*service.cold_per_s, bound);
+    const gateway::ColdRate rate = gateway::owner_rate(*service.cold_per_s, bound);
     const double allowed = *service.cold_per_s * bound.overshoot + bound.slack;
     const double one_owner = rate.per_s + rate.burst;
     return format_line("  %8.2f  %8.2f  %9.2f  %10.2f", allowed, rate.per_s, one_owner, 2 * one_owner);
@@ -92,7 +92,8 @@
 // Retries in one window: what the retry budget's bucket holds at its begin, plus what the requests within it
 // add. docs/system.md derives the figures.
 std::string retries_table(const settings::Bounds& bounds, const gateway::RetryBound& bound, int gateways) {
-    const gateway::RetryShare share = gateway::retry_share(bound, static_cast<std::size_t>(gateways));
+    const gateway::RetryBucketLimits share =
+        gateway::retry_bucket_limits(bound, static_cast<std::size_t>(gateways));
     std::string text =
         "Further attempts to one service, over " + std::to_string(gateways) + " gateways, in any ";
     text += format_line("%.1f s:", Seconds(bounds.retry_window).count());
@@ -101,8 +102,8 @@
         return padded("  " + name, width) + format_line("%5.2f x requests + %8.1f", ratio, constant);
     };
     text += row("the rule", bound.ratio, bound.slack);
-    text += row("worst", share.per_request, share.capacity * gateways);
-    text += row("one gateway", share.per_request, share.capacity);
+    text += row("worst", share.tokens_per_request, share.capacity * gateways);
+    text += row("one gateway", share.tokens_per_request, share.capacity);
     return text;
 }
 
