--- a/include/dewweir/decisions.h
+++ b/include/dewweir/decisions.h
@@ -1,4 +1,6 @@
-// The interface of the decision module: what happens is told to a Decisions, and it acts on its Gateway.
+// Interface of the decision module. The owner of a Decisions object reports every event to it, in the order
+// in which the events happen; the module acts through the Gateway that it was given. It reads no clock, does
+// no I/O and starts no threads.
 #pragma once
 
 #include <array>
@@ -9,107 +11,155 @@
 
 namespace dewweir {
 
-using Time = std::int64_t;                            // tenths of a millisecond
-using Settings = std::map<std::string, std::string>;  // what is read at start: name to value, times in ms
+// A moment or a duration, in tenths of a millisecond.
+using Time = std::int64_t;
 
-enum class AttemptOutcome { ok, error, full, timeout, connect_failed, broken, called_off, not_sent };
-enum class HostState { gone, ready, draining };
-// What a line for the log is about.
-enum class LogEvent { breaker_open, breaker_closed, host_shut, host_back };
-// How requests were decided, and what became of attempts; the last are outcomes, in their order.
+// Settings by name, as text; times are written in milliseconds.
+using Settings = std::map<std::string, std::string>;
+
+// How an attempt at a host, or a call to the quota counter, ended.
+enum class AttemptOutcome {
+    ok,
+    error,           // answered with an error
+    overloaded,      // turned away because of load; the request was not executed
+    timeout,         // no complete answer within the time limit
+    connect_failed,  // no connection; the request was not executed
+    broken,          // the connection broke, or the answer could not be read
+    cancelled,       // cancelled by Gateway::cancel
+    not_sent,        // withdrawn before it was sent; says nothing about the host
+};
+
+enum class HostState { removed, ready, draining };
+
+// What a log line is about.
+enum class LogEvent { breaker_open, breaker_closed, host_ejected, host_restored };
+
+// How requests were decided and how attempts ended. The values from `served` on are the values of
+// AttemptOutcome, in the same order.
 enum class Decision {
-    counted_in,
-    counted_over,
-    local_in,
-    local_over,
-    over_already,
-    long_line,
-    late,
-    to_warm,
-    to_cold,
-    trial_piece,
+    admitted_by_counter,    // within the quota by the counter's total
+    over_quota_by_counter,  // beyond the quota by the counter's total
+    admitted_locally,       // within this gateway's local quota share
+    over_quota_locally,     // beyond this gateway's local quota share
+    still_over_quota,       // refused without a call: the counter found the tenant over its quota lately
+    queue_too_long,         // refused on arrival: the queue would take too much of the latency goal
+    expired_in_queue,       // refused in the queue: the latency goal could no longer be met
+    sent_to_warm_host,
+    sent_to_cold_host,  // to a host in slow start
+    sent_as_probe,      // to an ejected host, to see whether it has recovered
     served,
     errors,
-    turned_away,
+    overloaded,
     timed_out,
     not_connected,
     broken_off,
-    called_off,
+    cancelled,
     not_sent
 };
-using Decided = std::array<std::int64_t, static_cast<std::size_t>(Decision::not_sent) + 1>;
 
-// What other gateways say of a host, weighed by whoever hands it over (src/verdicts): evidence, not an order.
+// Number of occurrences of each Decision.
+using DecisionCounts = std::array<std::int64_t, static_cast<std::size_t>(Decision::not_sent) + 1>;
+
+// What other gateways report about a host, weighted by the caller (src/verdicts). It is evidence for the
+// decisions, not an order.
 struct HostReport {
-    double doubt = 0;       // of so many gateways' worth: that it fails, and has not been well since
-    Time found = 0;         // when the last of these saw it fail; 0: none
-    Time until = 0;         // when the last of these words is over; nothing here counts after it
-    bool draining = false;  // by a list later than ours
-    Time up_since = 0;      // by such a list it has started again then; 0: it has not
+    // Sum of the weights (0 to 1) of the gateways that found the host failing and have not seen it well
+    // since, less the weights of those that find it well.
+    double suspicion = 0;
+    // Most recent failure among these observations; 0: none.
+    Time last_failure = 0;
+    // When the last of these observations expires; the report is ignored after that.
+    Time expires_at = 0;
+    // The host drains according to a host list newer than this gateway's.
+    bool draining = false;
+    // When the host started, according to such a list; 0: no restart is known.
+    Time up_since = 0;
 };
 
-// One gateway's part of a tenant's quota: of whose, by which plan, among how many gateways.
-struct PartOf {
+// Identifies one gateway's share of a tenant's quota.
+struct QuotaShare {
     std::uint64_t tenant = 0;
-    int plan = 0, gateways = 1;
-    double rate = 0, burst = 0;  // of the whole quota, as the plan has it
+    int plan = 0;      // index of the quota plan
+    int gateways = 1;  // number of gateways that share the quota
+    // Of the complete quota: units per tenth of a millisecond, and units.
+    double rate = 0;
+    double burst = 0;
 
-    bool operator==(const PartOf&) const = default;
+    bool operator==(const QuotaShare&) const = default;
 };
 
-// What the module can have done. Requests, hosts and counts go by the ids they came with.
+// The actions that the module can take. Requests, hosts and counters go by the ids under which they were
+// reported.
 class Gateway {
   public:
     virtual ~Gateway() = default;
-    virtual void start_attempt(std::uint32_t request, std::uint32_t host, Time give_up_after) = 0;
-    virtual void refuse(std::uint32_t request, Time come_back_in) = 0;
+
+    virtual void start_attempt(std::uint32_t request, std::uint32_t host, Time timeout) = 0;
+    // Answers that the request was not executed; `retry_after` 0: without advice.
+    virtual void refuse(std::uint32_t request, Time retry_after) = 0;
+    // Answers that the request failed and may have been executed.
     virtual void fail(std::uint32_t request) = 0;
+    // `attempt` counts the attempts of the request from 0.
     virtual void cancel(std::uint32_t request, int attempt) = 0;
-    virtual void count(std::uint64_t name, double amount, Time keep_for) = 0;
-    virtual void arm(Time from_now, std::uint64_t token) = 0;
-    virtual void disarm(std::uint64_t token) = 0;  // may do nothing: a late alarm is heard without effect
-    virtual void follow_list() = 0;
-    // `host`: which one it is about; 0 where it is about none.
+    // Adds units to the counter of this name, or gives them back if `amount` is negative; 0 only reads it.
+    // The counter may forget the name after `keep_for`. Answered by Decisions::counter_replied.
+    virtual void add_to_counter(std::uint64_t name, double amount, Time keep_for) = 0;
+    // Calls Decisions::timer_expired with the token after this time.
+    virtual void start_timer(Time from_now, std::uint64_t token) = 0;
+    // May do nothing: timers that expire late have no effect.
+    virtual void cancel_timer(std::uint64_t token) = 0;
+    // Asks for the host list and for its changes from then on.
+    virtual void watch_host_list() = 0;
+    // `host`: the host concerned, 0 if there is none.
     virtual void log(LogEvent event, std::uint32_t host, const std::string& line) = 0;
-    // How often each, since it was last told; every few latency goals.
-    virtual void decided(const Decided& often) = 0;
-    // What the counter holds of a name by all we know, for whoever tells other gateways: told with each
-    // answer.
-    virtual void total_known(std::uint64_t, double) {}
-    // What two other gateways at least were told of it, or more; 0: nothing.
-    virtual double others_total(std::uint64_t) const { return 0; }
-    // That part did not hold so many units of a request, and the counter was not asked.
-    virtual void lacks(const PartOf&, double) {}
+    // Counts since the previous call; called every few latency goals.
+    virtual void report_decisions(const DecisionCounts& counts) = 0;
+    // Best known total of a counter, to be sent to other gateways; called with each answer of the counter.
+    virtual void publish_total(std::uint64_t /*name*/, double /*total*/) {}
+    // A total of this counter that at least two other gateways have been told, or more; 0: unknown.
+    virtual double corroborated_total(std::uint64_t /*name*/) const { return 0; }
+    // A request needed that many units, this gateway's share did not hold them, and the counter was not
+    // asked.
+    virtual void report_shortage(const QuotaShare& /*share*/, double /*units*/) {}
 };
 
-// One gateway's decisions. Each method is one thing that can happen; `now` never goes back.
+// The decisions of one gateway. Each method reports one event; `now` never decreases.
 class Decisions {
   public:
-    // Throws errors::BadSetting (src/errors) naming the setting that is missing or unreadable.
+    // Throws errors::BadSetting (src/errors) that names the missing or unreadable setting.
     Decisions(Gateway& gateway, const Settings& settings, std::uint64_t seed, Time now);
     ~Decisions();
 
-    // News of the host list: begins, a call for each entry, ends. A whole list replaces the one before.
-    void list_begins(Time now, bool whole);
+    // An update of the host list: list_begins, host_listed for each entry, list_ends. A complete list
+    // replaces the previous one; other updates only change the hosts that they name.
+    void list_begins(Time now, bool complete);
+    // `up_since`: when the host process started, 0 if unknown.
     void host_listed(Time now, std::uint32_t host, HostState state, Time up_since, int zone, int cell);
     void list_ends(Time now);
+    // A request for the host list failed, or the watch ended.
     void list_failed(Time now);
-    // In place of what was heard of it before. Hosts that no list has named are passed over.
-    void others_found(Time now, std::uint32_t host, const HostReport& said);
+    // Replaces the previous report about the host. Hosts that no list has named are ignored.
+    void host_reported(Time now, std::uint32_t host, const HostReport& report);
 
-    // Another gateway lacks units of such a part: how many ours spares, at most so many. They have left it.
-    double spare(Time now, const PartOf& of, double units);
-    // Units that another gateway's part spared: ours to use until then, and never more than once.
-    void lent(Time now, std::uint64_t tenant, double units, Time until);
+    // Another gateway asks for units of this share. Returns how many of them are lent, from 0 to `units`;
+    // they have left this gateway's share.
+    double lend_tokens(Time now, const QuotaShare& share, double units);
+    // Units lent by another gateway, to be used here until `expires_at`. Each loan is reported once at most.
+    void receive_loan(Time now, std::uint64_t tenant, double units, Time expires_at);
 
+    // `tenant_gateways`: how many gateways share the tenant's quota. `time_left`: until the client gives up.
     void request_received(Time now, std::uint32_t request, int route_class, int plan, std::uint64_t tenant,
-                          double units, int tenant_gateways, Time patience_left);
+                          double units, int tenant_gateways, Time time_left);
+    // `took`: duration of the attempt. `settled`: no answer is owed to the request's client any more.
+    // `billed_units`: what the request cost according to the host; 0: as much as its units.
     void attempt_ended(Time now, std::uint32_t request, int attempt, std::uint32_t host,
                        AttemptOutcome outcome, Time took, bool settled, double billed_units);
+    // The answer's first bytes have reached the client: the attempt can't be replaced any more.
     void stream_started(Time now, std::uint32_t request, int attempt);
-    void client_gone(Time now, std::uint32_t request);
-    void counted(Time now, std::uint64_t name, AttemptOutcome outcome, double total, Time took);
-    void timer(Time now, std::uint64_t token);
+    void client_disconnected(Time now, std::uint32_t request);
+    // `total`: the counter's total after the call; meaningful with AttemptOutcome::ok only.
+    void counter_replied(Time now, std::uint64_t name, AttemptOutcome outcome, double total, Time took);
+    void timer_expired(Time now, std::uint64_t token);
 
   private:
     struct State;
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -87,26 +87,26 @@
     void start_attempt(std::uint32_t request, std::uint32_t host, Time give_up_after) override {
         reply_.action(256, 18).put(i_).put(request).put(host).put(ms(give_up_after));
     }
-    void refuse(std::uint32_t request, Time come_back_in) override {
-        reply_.action(257, 14).put(i_).put(request).put(ms(come_back_in));
+    void refuse(std::uint32_t request, Time retry_after) override {
+        reply_.action(257, 14).put(i_).put(request).put(ms(retry_after));
     }
     void fail(std::uint32_t request) override { reply_.action(258, 6).put(i_).put(request); }
     void cancel(std::uint32_t request, int attempt) override {
         reply_.action(259, 8).put(i_).put(request).put<std::uint16_t>(attempt);
     }
-    void count(std::uint64_t name, double amount, Time keep_for) override {
+    void add_to_counter(std::uint64_t name, double amount, Time keep_for) override {
         reply_.action(268, 22).put(i_).put(name).put<float>(amount).put(ms(keep_for));
     }
-    void arm(Time from_now, std::uint64_t token) override {
+    void start_timer(Time from_now, std::uint64_t token) override {
         reply_.action(260, 18).put(i_).put(ms(from_now)).put(token);
     }
-    void disarm(std::uint64_t) override {}  // the wire has no such action
-    void follow_list() override { reply_.action(266, 3).put(i_).put<std::uint8_t>(1); }
+    void cancel_timer(std::uint64_t) override {}  // the wire has no such action
+    void watch_host_list() override { reply_.action(266, 3).put(i_).put<std::uint8_t>(1); }
     void log(LogEvent, std::uint32_t, const std::string& line) override {
         const std::string text = line.substr(0, 60000);
         reply_.action(264, text.size() + 4).put(i_).text(text);
     }
-    void decided(const Decided& often) override {
+    void report_decisions(const DecisionCounts& often) override {
         if (const std::string line = decided_line(often); !line.empty()) log({}, 0, line);
     }
     void die(const std::string& why) { reply_.action(265, why.size() + 4).put(i_).text(why); }
@@ -125,11 +125,11 @@
     switch (code) {
         case 0: return AttemptOutcome::ok;
         case 255: return AttemptOutcome::error;
-        case 254: return AttemptOutcome::full;
+        case 254: return AttemptOutcome::overloaded;
         case 253: return AttemptOutcome::timeout;
         case 252: return AttemptOutcome::connect_failed;
         case 251: return AttemptOutcome::broken;
-        case 250: return AttemptOutcome::called_off;
+        case 250: return AttemptOutcome::cancelled;
         case 249: return AttemptOutcome::not_sent;
     }
     throw errors::BadInput("the wire", "unknown outcome code " + std::to_string(code));
@@ -182,14 +182,15 @@
                                            r.get<std::uint32_t>(26), outcome_of(r.get<std::uint8_t>(25)),
                                            r.time(15), r.get<std::uint8_t>(14) != 0,
                                            r.get<std::uint16_t>(23));
-        case 261: return decisions.client_gone(now, r.get<std::uint32_t>(8));
-        case 262: return decisions.timer(now, r.get<std::uint64_t>(8));
+        case 261: return decisions.client_disconnected(now, r.get<std::uint32_t>(8));
+        case 262: return decisions.timer_expired(now, r.get<std::uint64_t>(8));
         case 263: return;  // no probe is sent
         case 264: return;  // gateways learn of each other by the counter alone
         case 265: instances.erase(found); return;
         case 266:
-            return decisions.counted(now, r.get<std::uint64_t>(8), outcome_of(r.get<std::uint8_t>(28)),
-                                     r.get<float>(24), r.time(16));
+            return decisions.counter_replied(now, r.get<std::uint64_t>(8),
+                                             outcome_of(r.get<std::uint8_t>(28)), r.get<float>(24),
+                                             r.time(16));
     }
 }
 
--- a/src/cli/members.cpp
+++ b/src/cli/members.cpp
@@ -83,7 +83,7 @@
 struct PlanBounds {
     std::string name;
     double rate, burst;
-    limits::Bounds is;
+    limits::QuotaBounds is;
 };
 // Of the plans that have a quota, in a gateway's configuration that has been checked.
 std::vector<PlanBounds> plans_of(const std::string& configuration, std::size_t gateways) {
@@ -103,13 +103,13 @@
     std::printf("  %-16s %10s %24s %12s %22s  %s\n", "plan", "part", "counter goes, comes back",
                 "of a minute", "a gateway starts again", "parts move");
     for (const PlanBounds& one : plans)
-        std::printf("  %-16s %10.3g %18.3g each %11.1f%% %17.3g each  %s\n", one.name.c_str(), one.is.part,
-                    one.is.an_event, 100 * one.is.of_a_minute, one.is.a_restart,
-                    one.is.moves ? "yes" : "no: under a unit");
+        std::printf("  %-16s %10.3g %18.3g each %11.1f%% %17.3g each  %s\n", one.name.c_str(), one.is.share,
+                    one.is.event_excess, 100 * one.is.event_excess_of_minute, one.is.restart_excess,
+                    one.is.lendable ? "yes" : "no: under a unit");
     std::printf(
         "  while the counter stays away: none; what one gateway lends another is over after %.3g s at the "
         "most\n",
-        seconds(2 * limits::Moved::slot));
+        seconds(2 * limits::LoanBalance::slot));
 }
 
 // A fleet file says how many there are, an operator file what the terms are.
@@ -137,11 +137,11 @@
             quotas.push_back({{"plan", one.name},
                               {"rate", one.rate},
                               {"burst", one.burst},
-                              {"part", one.is.part},
-                              {"beyond_an_event", one.is.an_event},
-                              {"beyond_of_a_minute", one.is.of_a_minute},
-                              {"beyond_a_restart", one.is.a_restart},
-                              {"moves", one.is.moves}});
+                              {"part", one.is.share},
+                              {"beyond_an_event", one.is.event_excess},
+                              {"beyond_of_a_minute", one.is.event_excess_of_minute},
+                              {"beyond_a_restart", one.is.restart_excess},
+                              {"moves", one.is.lendable}});
         std::cout << json{{"members", o.network.members},
                           {"loss", o.network.loss},
                           {"probability", o.probability},
@@ -154,7 +154,7 @@
                           {"finding_oldest_s", seconds(oldest)},
                           {"bytes_a_second", b.bytes_a_second},
                           {"packets_a_second", b.packets_a_second},
-                          {"loan_s", seconds(2 * limits::Moved::slot)},
+                          {"loan_s", seconds(2 * limits::LoanBalance::slot)},
                           {"quotas", quotas}}
                          .dump(1)
                   << '\n';
--- a/src/decided.cpp
+++ b/src/decided.cpp
@@ -3,14 +3,14 @@
 namespace dewweir {
 
 const char* word_for(Decision decision) {
-    static constexpr std::array<const char*, std::tuple_size_v<Decided>> words = {
+    static constexpr std::array<const char*, std::tuple_size_v<DecisionCounts>> words = {
         "counted in",  "counted over", "share in",      "share over",   "over already", "long line",
         "late",        "to warm",      "to cold",       "trial pieces", "delivered",    "errors",
         "turned away", "timed out",    "not connected", "broken off",   "called off",   "not sent"};
     return words[static_cast<std::size_t>(decision)];
 }
 
-std::string decided_line(const Decided& often) {
+std::string decided_line(const DecisionCounts& often) {
     std::string line;
     for (std::size_t n = 0; n < often.size(); ++n)
         if (often[n])
--- a/src/decided.h
+++ b/src/decided.h
@@ -9,6 +9,6 @@
 
 const char* word_for(Decision decision);
 // `decided: counted in 5, late 1`; empty where nothing was.
-std::string decided_line(const Decided& often);
+std::string decided_line(const DecisionCounts& often);
 
 }  // namespace dewweir
--- a/src/gateway/proxy.cpp
+++ b/src/gateway/proxy.cpp
@@ -48,7 +48,7 @@
     switch (result.outcome) {
         case AttemptOutcome::answered:
             return result.answer.status < 500 ? PolicyOutcome::ok : PolicyOutcome::error;
-        case AttemptOutcome::not_executed: return PolicyOutcome::full;
+        case AttemptOutcome::not_executed: return PolicyOutcome::overloaded;
         case AttemptOutcome::misdirected:
         case AttemptOutcome::connect_failed: return PolicyOutcome::connect_failed;
         case AttemptOutcome::broken: return PolicyOutcome::broken;
@@ -263,7 +263,7 @@
     if (!request || !request->attempt) return;
     upstreams_.abandon(std::exchange(request->attempt, 0));
     request->arrived = true;
-    attempt_dropped(id, *request, PolicyOutcome::called_off);
+    attempt_dropped(id, *request, PolicyOutcome::cancelled);
 }
 
 // Tells the pool in the next turn: it may be deciding now.
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -51,10 +51,10 @@
     const quota::TimePoint now = loop_.steady_now();
     const bool reachable = holder && (holder->node == self_ || holders_[holder->node].breaker.allows(now));
     const quota::Decision decision = admission_.request(now, tenant, quota, placement_.gateways(), reachable);
-    if (decision.result != quota::Admitted::asked) conclude(decided, decision);
+    if (decision.result != quota::Admitted::pending) conclude(decided, decision);
     if (!decision.statement || !holder) return;
     if (!decision.wants_answer) return tell(*holder, *decision.statement, false);
-    const bool waits = decision.result == quota::Admitted::asked;
+    const bool waits = decision.result == quota::Admitted::pending;
     state(*holder, *decision.statement, waits ? std::move(decided) : Decided());
 }
 
--- a/src/gateway/quota_client.h
+++ b/src/gateway/quota_client.h
@@ -61,7 +61,7 @@
 
     runtime::EventLoop& loop_;
     std::string self_;
-    quota::GatewayLife life_;
+    quota::GatewayIncarnation life_;
     transport::Datagrams datagrams_;
     quota::CountHolder held_;
     quota::Admission admission_;
--- a/src/gateway/service_pool.cpp
+++ b/src/gateway/service_pool.cpp
@@ -101,27 +101,27 @@
     decisions_->attempt_ended(loop_.now(), request, 0, endpoint, verdict, took, answered, 0);
 }
 
-void ServicePool::client_left(RequestId request) { decisions_->client_gone(loop_.now(), request); }
+void ServicePool::client_left(RequestId request) { decisions_->client_disconnected(loop_.now(), request); }
 
 void ServicePool::start_attempt(std::uint32_t request, std::uint32_t host, Time give_up_after) {
     user_.send(request, host, give_up_after);
 }
 
-void ServicePool::refuse(std::uint32_t request, Time come_back_in) { user_.refuse(request, come_back_in); }
+void ServicePool::refuse(std::uint32_t request, Time retry_after) { user_.refuse(request, retry_after); }
 
 void ServicePool::fail(std::uint32_t request) { user_.fail(request); }
 
 void ServicePool::cancel(std::uint32_t request, int) { user_.cancel(request); }
 
-void ServicePool::arm(Time from_now, std::uint64_t token) {
+void ServicePool::start_timer(Time from_now, std::uint64_t token) {
     const net::Deadlines::Key key = loop_.deadlines().after(from_now, [this, token] {
         alarms_.erase(alarms_.find(token));
-        decisions_->timer(loop_.now(), token);
+        decisions_->timer_expired(loop_.now(), token);
     });
     alarms_.emplace(token, key);
 }
 
-void ServicePool::disarm(std::uint64_t token) {
+void ServicePool::cancel_timer(std::uint64_t token) {
     const auto found = alarms_.find(token);
     if (found == alarms_.end()) return;
     loop_.deadlines().drop(found->second);
@@ -134,8 +134,8 @@
     switch (what) {
         case LogEvent::breaker_open: event = Event::breaker_opened; break;
         case LogEvent::breaker_closed: event = Event::breaker_closed; break;
-        case LogEvent::host_shut: event = Event::endpoint_ejected; break;
-        case LogEvent::host_back: event = Event::endpoint_restored; break;
+        case LogEvent::host_ejected: event = Event::endpoint_ejected; break;
+        case LogEvent::host_restored: event = Event::endpoint_restored; break;
     }
     logging::log(
         logging::Level::info, event,
--- a/src/gateway/service_pool.h
+++ b/src/gateway/service_pool.h
@@ -81,16 +81,16 @@
     bool holds(const Endpoint& endpoint) const;
     void list(const Endpoint& endpoint, bool usable);
     void start_attempt(std::uint32_t request, std::uint32_t host, Time give_up_after) override;
-    void refuse(std::uint32_t request, Time come_back_in) override;
+    void refuse(std::uint32_t request, Time retry_after) override;
     void fail(std::uint32_t request) override;
     void cancel(std::uint32_t request, int attempt) override;
     // Quotas are checked before a request comes here.
-    void count(std::uint64_t, double, Time) override {}
-    void arm(Time from_now, std::uint64_t token) override;
-    void disarm(std::uint64_t token) override;
-    void follow_list() override {}
+    void add_to_counter(std::uint64_t, double, Time) override {}
+    void start_timer(Time from_now, std::uint64_t token) override;
+    void cancel_timer(std::uint64_t token) override;
+    void watch_host_list() override {}
     void log(LogEvent what, std::uint32_t host, const std::string& line) override;
-    void decided(const Decided&) override {}
+    void report_decisions(const DecisionCounts&) override {}
 
     runtime::EventLoop& loop_;
     PoolUser& user_;
--- a/src/limits/moved.h
+++ b/src/limits/moved.h
@@ -11,30 +11,30 @@
 
 namespace dewweir::limits {
 
-class Moved {
+class LoanBalance {
   public:
     static constexpr Time slot = 20000;  // 2 s: what is lent lives for one to two of them
 
     // When what is lent now is over.
-    static Time over_at(Time now) { return (now / slot + 2) * slot; }
+    static Time expiry_of(Time now) { return (now / slot + 2) * slot; }
 
     // Units that have left our part and may still be used elsewhere: our part has that much less room.
-    double lent(Time now) { return turned(now), lent_[0] + lent_[1]; }
-    void lend(Time now, double units) { turned(now), lent_[0] += units; }
+    double lent(Time now) { return advance(now), lent_[0] + lent_[1]; }
+    void lend(Time now, double units) { advance(now), lent_[0] += units; }
 
     // Units held from others, besides our own part.
-    double held(Time now) { return turned(now), held_[0] + held_[1]; }
+    double borrowed(Time now) { return advance(now), borrowed_[0] + borrowed_[1]; }
     // Units that are over at `until`; those that are over, or last longer than any lent here could, are not
     // taken.
-    void come(Time now, double units, Time until);
+    void borrow(Time now, double units, Time until);
     // Uses what is held, that which is over first; what it could not hold is handed back.
-    double use(Time now, double units);
+    double spend(Time now, double units);
 
   private:
-    void turned(Time now);
+    void advance(Time now);
 
     std::int64_t at_ = 0;
-    std::array<double, 2> lent_{}, held_{};  // of this slot and of the one before
+    std::array<double, 2> lent_{}, borrowed_{};  // of this slot and of the one before
 };
 
 }  // namespace dewweir::limits
--- a/src/limits/rights.cpp
+++ b/src/limits/rights.cpp
@@ -28,17 +28,17 @@
     return take(from, name, into) && into >= 0 && into < most_units;
 }
 
-bool read(const Word& word, Want& into) {
+bool read(const Word& word, LoanRequest& into) {
     const json told = members::carried_by(word);
     std::uint64_t plan = 0, gateways = 0;
-    if (!told.is_object() || !take(told, "o", into.by) || !take(told, "c", into.of.tenant) ||
-        !take(told, "p", plan) || !take(told, "g", gateways) || !take_amount(told, "r", into.of.rate) ||
-        !take_amount(told, "b", into.of.burst) || !take_amount(told, "u", into.units))
+    if (!told.is_object() || !take(told, "o", into.by) || !take(told, "c", into.share.tenant) ||
+        !take(told, "p", plan) || !take(told, "g", gateways) || !take_amount(told, "r", into.share.rate) ||
+        !take_amount(told, "b", into.share.burst) || !take_amount(told, "u", into.units))
         return false;
-    into.of.plan = static_cast<int>(std::min<std::uint64_t>(plan, 1 << 20));
-    into.of.gateways = static_cast<int>(std::clamp<std::uint64_t>(gateways, 1, 1 << 20));
+    into.share.plan = static_cast<int>(std::min<std::uint64_t>(plan, 1 << 20));
+    into.share.gateways = static_cast<int>(std::clamp<std::uint64_t>(gateways, 1, 1 << 20));
     into.rank = word.rank;
-    return into.units > 0 && word.key == key_of_want(into.by, into.of.tenant);
+    return into.units > 0 && word.key == key_of_want(into.by, into.share.tenant);
 }
 
 struct LoanWord {
@@ -53,41 +53,42 @@
         !take(told, "w", into.want) || !take(told, "c", into.loan.tenant) ||
         !take_amount(told, "u", into.loan.units) || !take(told, "e", until))
         return false;
-    into.loan.until = static_cast<Time>(until);
+    into.loan.expires_at = static_cast<Time>(until);
     return into.loan.units > 0 && word.key == key_of_loan(into.by, word.rank);
 }
 
 }  // namespace
 
-Rights::Rights(const RightsTerms& terms, std::string self, std::uint64_t rank, std::uint64_t seed)
+QuotaLending::QuotaLending(const QuotaLendingOptions& terms, std::string self, std::uint64_t rank,
+                           std::uint64_t seed)
     : terms_(terms), self_(std::move(self)), rank_(rank), first_rank_(rank), chance_(seed) {}
 
-bool Rights::is_one(const Word& word) { return word.key.rfind(about, 0) == 0; }
+bool QuotaLending::is_lending_item(const Word& word) { return word.key.rfind(about, 0) == 0; }
 
-void Rights::lacked(Time now, const PartOf& of, double units) {
+void QuotaLending::report_shortage(Time now, const QuotaShare& of, double units) {
     // Parts under a unit do not move.
     if (of.burst < of.gateways || units <= 0) return;
     if (!lacks_.contains(of.tenant) && lacks_.size() >= terms_.most) return;
-    Lack& lack = lacks_[of.tenant];
-    lack.of = of;
+    Shortage& lack = lacks_[of.tenant];
+    lack.share = of;
     lack.units += units;
     lack.last = now;
 }
 
-bool Rights::came(Time now, const Word& word) {
+bool QuotaLending::receive(Time now, const Word& word) {
     if (word.past(now) || word.life > terms_.life) return false;
-    return word.key.rfind(about_want, 0) == 0 ? came_want(now, word) : came_loan(now, word);
+    return word.key.rfind(about_want, 0) == 0 ? receive_request(now, word) : receive_loan(now, word);
 }
 
-bool Rights::came_want(Time now, const Word& word) {
-    Want want;
+bool QuotaLending::receive_request(Time now, const Word& word) {
+    LoanRequest want;
     if (!read(word, want) || want.by == self_) return false;
     Word& held = words_[word.key];
     if (word.rank <= held.rank) return false;
     held = word;
     // So many of all are to lend; who lacks the same has nothing to spare.
-    const double others = std::max(1, want.of.gateways - 1), lenders = std::min(others, terms_.lenders);
-    if (now >= counted_until_ && !lacks_.contains(want.of.tenant) &&
+    const double others = std::max(1, want.share.gateways - 1), lenders = std::min(others, terms_.lenders);
+    if (now >= counted_until_ && !lacks_.contains(want.share.tenant) &&
         std::uniform_real_distribution<>()(chance_) * others < lenders) {
         want.units *= terms_.ample / lenders;
         asked_.push_back(std::move(want));
@@ -95,43 +96,43 @@
     return true;
 }
 
-bool Rights::came_loan(Time now, const Word& word) {
+bool QuotaLending::receive_loan(Time now, const Word& word) {
     LoanWord is;
     if (!read(word, is) || is.by == self_) return false;
     if (is.to != self_) return words_.emplace(word.key, word).second;
     // One that an earlier process of ours asked for was its own, and one taken before is not taken again.
     if (is.want <= first_rank_ || word.rank <= taken_to_[is.by] ||
         !taken_[is.by].emplace(word.rank, now).second) {
-        ++tally_.refused;
+        ++counters_.refused;
         return false;
     }
     if (const auto lack = lacks_.find(is.loan.tenant); lack != lacks_.end()) lack->second.wait = terms_.first;
-    ++tally_.loans_in, tally_.units_in += is.loan.units;
+    ++counters_.loans_in, counters_.units_in += is.loan.units;
     loans_.push_back(is.loan);
     return false;  // it has come where it was to come
 }
 
-std::vector<Want> Rights::asked() { return std::exchange(asked_, {}); }
+std::vector<LoanRequest> QuotaLending::take_requests() { return std::exchange(asked_, {}); }
 
-void Rights::lent(Time now, const Want& want, double units, Time until) {
+void QuotaLending::record_loan(Time now, const LoanRequest& want, double units, Time until) {
     const std::uint64_t rank = ++rank_;
     std::string bytes;
     json::to_cbor({{"o", self_},
                    {"t", want.by},
                    {"w", want.rank},
-                   {"c", want.of.tenant},
+                   {"c", want.share.tenant},
                    {"u", units},
                    {"e", static_cast<std::uint64_t>(until)}},
                   bytes);
     const Word word{key_of_loan(self_, rank), rank, now, terms_.life, bytes};
     words_[word.key] = word;
     telling_.push_back(word);
-    ++tally_.loans_out, tally_.units_out += units;
+    ++counters_.loans_out, counters_.units_out += units;
 }
 
-std::vector<Loan> Rights::loans() { return std::exchange(loans_, {}); }
+std::vector<Loan> QuotaLending::take_loans() { return std::exchange(loans_, {}); }
 
-void Rights::forget(Time now) {
+void QuotaLending::forget(Time now) {
     std::erase_if(words_, [now](const auto& each) { return each.second.past(now); });
     // Nothing was lacking for so long: what comes next is another need.
     std::erase_if(lacks_, [&](const auto& each) { return now > each.second.last + terms_.longest; });
@@ -142,7 +143,7 @@
         }
 }
 
-std::vector<Word> Rights::to_tell(Time now) {
+std::vector<Word> QuotaLending::take_outgoing(Time now) {
     forget(now);
     for (auto& [tenant, lack] : lacks_) {
         if (lack.units <= 0 || now < lack.told + lack.wait) continue;
@@ -150,10 +151,10 @@
         std::string bytes;
         json::to_cbor({{"o", self_},
                        {"c", tenant},
-                       {"p", static_cast<std::uint64_t>(lack.of.plan)},
-                       {"g", static_cast<std::uint64_t>(lack.of.gateways)},
-                       {"r", lack.of.rate},
-                       {"b", lack.of.burst},
+                       {"p", static_cast<std::uint64_t>(lack.share.plan)},
+                       {"g", static_cast<std::uint64_t>(lack.share.gateways)},
+                       {"r", lack.share.rate},
+                       {"b", lack.share.burst},
                        {"u", lack.units}},
                       bytes);
         const Word word{key_of_want(self_, tenant), rank, now, terms_.life, bytes};
@@ -162,19 +163,19 @@
         // A loan sets it back: who brought nothing so far is asked ever more seldom.
         lack.wait = lack.wait ? std::min(2 * lack.wait, terms_.longest) : terms_.first;
         lack.told = now, lack.units = 0;
-        ++tally_.wants;
+        ++counters_.requests;
     }
     return std::exchange(telling_, {});
 }
 
-std::vector<Word> Rights::all(Time now) const {
+std::vector<Word> QuotaLending::live_items(Time now) const {
     std::vector<Word> all;
     for (const auto& [key, word] : words_)
         if (!word.past(now)) all.push_back(word);
     return all;
 }
 
-Time Rights::next(Time now) const {
+Time QuotaLending::next_timer(Time now) const {
     Time next = std::numeric_limits<Time>::max();
     for (const auto& [tenant, lack] : lacks_)
         next = std::min(
--- a/src/limits/rights.h
+++ b/src/limits/rights.h
@@ -15,8 +15,8 @@
 
 namespace dewweir::limits {
 
-struct Want {
-    PartOf of;
+struct LoanRequest {
+    QuotaShare share;
     double units = 0;
     std::string by{};
     std::uint64_t rank = 0;  // of two of one gateway the higher is the later, also after a restart
@@ -24,10 +24,10 @@
 struct Loan {
     std::uint64_t tenant = 0;
     double units = 0;
-    Time until = 0;  // by all clocks: they are held to agree, as for the counter's windows
+    Time expires_at = 0;  // by all clocks: they are held to agree, as for the counter's windows
 };
 
-struct RightsTerms {
+struct QuotaLendingOptions {
     Time life = 20000;       // of a word: 2 s
     Time first = 2500;       // between two wants of one tenant, doubled with each that brought nothing ...
     Time longest = 40000;    // ... up to this
@@ -37,58 +37,58 @@
     std::size_t most = 256;  // tenants that wants are kept of; more are not told
 };
 
-class Rights {
+class QuotaLending {
   public:
     // `rank`: over that of every word of an earlier process of this name.
-    Rights(const RightsTerms& terms, std::string self, std::uint64_t rank, std::uint64_t seed);
+    QuotaLending(const QuotaLendingOptions& terms, std::string self, std::uint64_t rank, std::uint64_t seed);
 
     // Our part did not hold so many units of a request, and the counter was not asked.
-    void lacked(Time now, const PartOf& of, double units);
+    void report_shortage(Time now, const QuotaShare& of, double units);
     // The counter has answered us: what is let in here is counted, so that our part is not ours to lend.
-    void answered(Time now) { counted_until_ = now + terms_.silent; }
+    void counter_answered(Time now) { counted_until_ = now + terms_.silent; }
     // Whether it is new here, and so to be passed on.
-    bool came(Time now, const members::Word& word);
+    bool receive(Time now, const members::Word& word);
     // Others' wants that are for us to lend to, each once.
-    std::vector<Want> asked();
+    std::vector<LoanRequest> take_requests();
     // So many units have left our part, for that want.
-    void lent(Time now, const Want& want, double units, Time until);
+    void record_loan(Time now, const LoanRequest& want, double units, Time until);
     // Loans to us, each once.
-    std::vector<Loan> loans();
-    std::vector<members::Word> to_tell(Time now);
-    std::vector<members::Word> all(Time now) const;
-    Time next(Time now) const;
-    static bool is_one(const members::Word& word);
+    std::vector<Loan> take_loans();
+    std::vector<members::Word> take_outgoing(Time now);
+    std::vector<members::Word> live_items(Time now) const;
+    Time next_timer(Time now) const;
+    static bool is_lending_item(const members::Word& word);
 
-    struct Tally {
-        std::uint64_t wants = 0, loans_out = 0, loans_in = 0, refused = 0;
+    struct Counters {
+        std::uint64_t requests = 0, loans_out = 0, loans_in = 0, refused = 0;
         double units_out = 0, units_in = 0;
     };
-    const Tally& tally() const { return tally_; }
+    const Counters& counters() const { return counters_; }
 
   private:
-    struct Lack {
-        PartOf of;
+    struct Shortage {
+        QuotaShare share;
         double units = 0;
         Time told = 0, wait = 0;  // 0: none yet
         Time last = 0;
     };
     void forget(Time now);
-    bool came_want(Time now, const members::Word& word);
-    bool came_loan(Time now, const members::Word& word);
+    bool receive_request(Time now, const members::Word& word);
+    bool receive_loan(Time now, const members::Word& word);
 
-    RightsTerms terms_;
+    QuotaLendingOptions terms_;
     std::string self_;
     std::uint64_t rank_, first_rank_;
     Time counted_until_ = 0;
     std::mt19937_64 chance_;
-    std::map<std::uint64_t, Lack> lacks_;            // by tenant
+    std::map<std::uint64_t, Shortage> lacks_;        // by tenant
     std::map<std::string, members::Word> words_;     // by key: what is passed on, while it lives
     std::map<std::string, std::uint64_t> taken_to_;  // by lender: no loan up to this rank is taken any more
     std::map<std::string, std::map<std::uint64_t, Time>> taken_;  // over that: when each was taken
     std::vector<members::Word> telling_;
-    std::vector<Want> asked_;
+    std::vector<LoanRequest> asked_;
     std::vector<Loan> loans_;
-    Tally tally_;
+    Counters counters_;
 };
 
 }  // namespace dewweir::limits
--- a/src/model/counter.cpp
+++ b/src/model/counter.cpp
@@ -22,7 +22,7 @@
     Time& free = free_[part];
     free = std::max(free, now);
     if (turn > 0 && free - now >= turn * static_cast<Time>(traits_.line))
-        return {now, AttemptOutcome::full, 0};
+        return {now, AttemptOutcome::overloaded, 0};
     free += turn;
     forget(now);
     Name& held = names_[name];
--- a/src/net/check.cpp
+++ b/src/net/check.cpp
@@ -85,12 +85,12 @@
     void refuse(std::uint32_t, Time) override {}
     void fail(std::uint32_t) override {}
     void cancel(std::uint32_t, int) override {}
-    void count(std::uint64_t, double, Time) override {}
-    void arm(Time, std::uint64_t) override {}
-    void disarm(std::uint64_t) override {}
-    void follow_list() override {}
+    void add_to_counter(std::uint64_t, double, Time) override {}
+    void start_timer(Time, std::uint64_t) override {}
+    void cancel_timer(std::uint64_t) override {}
+    void watch_host_list() override {}
     void log(LogEvent, std::uint32_t, const std::string&) override {}
-    void decided(const Decided&) override {}
+    void report_decisions(const DecisionCounts&) override {}
 };
 
 // What is missing or unreadable among the settings, one after the other: each is put right before the next is
@@ -142,7 +142,7 @@
         all.push_back({file, lines.of(key), key, fault.happened() + near});
     }
     for (const errors::BadSetting& fault : setting_faults(settings)) {
-        const std::string name = "settings." + their_words(fault.to_what());
+        const std::string name = "settings." + operator_name(fault.to_what());
         all.push_back(
             {file, lines.of(name), name, fault.happened() + " (" + fault.to_what() + " in our words)"});
     }
--- a/src/net/configuration.cpp
+++ b/src/net/configuration.cpp
@@ -119,10 +119,10 @@
         const std::string phase = text_of(one, "phase");
         if (phase == "in_service") entry.state = HostState::ready;
         else if (phase == "terminating") entry.state = HostState::draining;
-        else if (phase == "terminated") entry.state = HostState::gone;
+        else if (phase == "terminated") entry.state = HostState::removed;
         else throw BadSetting("phase", "unknown, `" + phase + "`");
         // What is gone needs no address.
-        if (entry.state != HostState::gone || one.contains("host_port"))
+        if (entry.state != HostState::removed || one.contains("host_port"))
             entry.address = address_at(one, "host_port");
         const std::string zone = one.contains("locality") ? text_of(one, "locality") : "";
         entry.zone = static_cast<int>(std::find(zones.begin(), zones.end(), zone) - zones.begin());
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -185,7 +185,7 @@
         if (fault == std::errc() && end == line.data() + line.size() && std::isfinite(total))
             outcome = AttemptOutcome::ok;
     } else if (line == "busy") {
-        outcome = AttemptOutcome::full;
+        outcome = AttemptOutcome::overloaded;
     } else if (line == "error") {
         outcome = AttemptOutcome::error;
     } else if (link.calls.front().ping && line == "pong") {
--- a/src/net/counts_event.cpp
+++ b/src/net/counts_event.cpp
@@ -29,8 +29,8 @@
 }  // namespace
 
 int time_bucket(Time took) {
-    // Whole numbers alone, since it is counted for each delivery: the doubling, then how many of its quarters.
-    // The roots of 2 to 32 bits are closer than any two times under the last bucket are apart.
+    // Whole numbers alone, since it is counted for each delivery: the doubling, then how many of its
+    // quarters. The roots of 2 to 32 bits are closer than any two times under the last bucket are apart.
     constexpr std::uint64_t quarters[] = {5107605667, 6074000999, 7223245205};
     const auto time = std::min(static_cast<std::uint64_t>(std::max<Time>(1, took)), std::uint64_t{1} << 22);
     const int doublings = std::bit_width(time) - 1;
@@ -44,7 +44,7 @@
     ++times_[static_cast<std::size_t>(time_bucket(took))];
 }
 
-void CountsEvent::decided(const Decided& often) {
+void CountsEvent::report_decisions(const DecisionCounts& often) {
     for (std::size_t n = 0; n < often.size(); ++n) decided_[n] += often[n];
 }
 
@@ -53,9 +53,9 @@
     for (std::size_t n = 0; n < times_.size(); ++n)
         if (times_[n]) times.push_back(static_cast<std::int64_t>(n)), times.push_back(times_[n]);
     const auto of = [this](Decision one) { return decided_[static_cast<std::size_t>(one)]; };
-    const std::int64_t quota =
-        of(Decision::counted_over) + of(Decision::local_over) + of(Decision::over_already);
-    const std::int64_t line = of(Decision::long_line) + of(Decision::late);
+    const std::int64_t quota = of(Decision::over_quota_by_counter) + of(Decision::over_quota_locally) +
+                               of(Decision::still_over_quota);
+    const std::int64_t line = of(Decision::queue_too_long) + of(Decision::expired_in_queue);
     log.tell(Event::counts,
              // Its end makes each line another: equal ones would be told as repeats.
              "counts until " + std::to_string(now / 10) + ": tries " + std::to_string(tries_) + ", in goal " +
--- a/src/net/counts_event.h
+++ b/src/net/counts_event.h
@@ -30,7 +30,7 @@
     void refused() override { ++refused_; }
     void failed() override { ++failed_; }
     void client_gone() override { ++gone_; }
-    void decided(const Decided& often) override;
+    void report_decisions(const DecisionCounts& often) override;
     void tell(Log& log, Time now) override;
     Time every() const override { return every_; }
 
@@ -40,7 +40,7 @@
     std::int64_t tries_ = 0, in_goal_ = 0, late_ = 0, refused_ = 0, failed_ = 0, gone_ = 0, sent_on_ = 0,
                  attempts_ = 0, calls_ = 0;
     double asked_ = 0, in_ = 0, counted_ = 0;  // units
-    Decided decided_{};
+    DecisionCounts decided_{};
     std::array<std::int64_t, time_buckets> times_{};
 };
 
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -18,7 +18,7 @@
 
 std::uint32_t Hosts::listed(const Entry& entry) {
     const auto known = numbers_.find(entry.id);
-    if (known == numbers_.end() && entry.state == HostState::gone) return 0;
+    if (known == numbers_.end() && entry.state == HostState::removed) return 0;
     const std::uint32_t number = known == numbers_.end() ? ++last_number_ : known->second;
     Host& host = hosts_[number];
     if (known == numbers_.end()) {
@@ -28,7 +28,7 @@
                   {{"host", number}, {"id", entry.id}});
     }
     // At another address, or started again: what stands idle leads nowhere.
-    if (entry.state != HostState::gone &&
+    if (entry.state != HostState::removed &&
         (host.address != entry.address || host.up_since != entry.up_since)) {
         host.address = entry.address;
         host.up_since = entry.up_since;
@@ -53,14 +53,14 @@
     for (const Entry& entry : entries)
         if (const auto known = numbers_.find(entry.id); known != numbers_.end()) named.insert(known->second);
     for (auto& [number, host] : hosts_)
-        if (!named.contains(number)) now_stands(number, host, HostState::gone);
+        if (!named.contains(number)) now_stands(number, host, HostState::removed);
 }
 
 void Hosts::now_stands(std::uint32_t number, Host& host, HostState state) {
     const HostState before = std::exchange(host.state, state);
     if (before == HostState::ready && state != HostState::ready) not_ready(number);
-    if (before != HostState::gone && state == HostState::gone) forget_later(number, host);
-    if (state != HostState::gone) deadlines_.drop(host.leaving);
+    if (before != HostState::removed && state == HostState::removed) forget_later(number, host);
+    if (state != HostState::removed) deadlines_.drop(host.leaving);
 }
 
 void Hosts::forget_later(std::uint32_t number, Host& host) {
@@ -167,7 +167,7 @@
 void Hosts::call_off(Handle attempt) {
     UpstreamConnection* const upstream = upstreams_.find(attempt);
     if (!upstream || !upstream->request) return;
-    later_over(upstream->request, upstream->host, AttemptOutcome::called_off,
+    later_over(upstream->request, upstream->host, AttemptOutcome::cancelled,
                deadlines_.now() - upstream->sent);
     give_back(attempt, *upstream);
 }
@@ -199,11 +199,11 @@
     if (state == HttpReader::State::bad) return over(mark, *upstream, AttemptOutcome::broken);
     const bool full = (reader.status() == 503 || reader.status() == 504) && reader.field("X-Not-Run") == "1";
     const AttemptOutcome outcome = reader.status() == 200 ? AttemptOutcome::ok
-                                   : full                 ? AttemptOutcome::full
+                                   : full                 ? AttemptOutcome::overloaded
                                                           : AttemptOutcome::error;
     // Before its last byte was written the host cannot have begun it: whatever this is, it answers
     // nothing.
-    if (outcome != AttemptOutcome::full && connections_.unsent(connection))
+    if (outcome != AttemptOutcome::overloaded && connections_.unsent(connection))
         return over(mark, *upstream, AttemptOutcome::connect_failed);
     Answer answer;
     if (outcome == AttemptOutcome::ok) {
--- a/src/net/hosts.h
+++ b/src/net/hosts.h
@@ -50,7 +50,7 @@
     struct Host {
         std::string id;
         tcp::endpoint address{};
-        HostState state = HostState::gone;
+        HostState state = HostState::removed;
         Time up_since = 0;
         int upstreams = 0;           // all of them, idle or not
         Deadlines::Key leaving{};    // then it is forgotten
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -86,12 +86,12 @@
     r->attempt = hosts_.start_attempt(id, host, r->head, r->body, give_up_after);
 }
 
-void Node::refuse(std::uint32_t id, Time come_back_in) {
+void Node::refuse(std::uint32_t id, Time retry_after) {
     if (tallies_) tallies_->refused();
     char advice[48] = "";
-    if (come_back_in > 0)
+    if (retry_after > 0)
         std::snprintf(advice, sizeof advice, "Retry-After: %.4f\r\n",
-                      static_cast<double>(come_back_in) / 10000);
+                      static_cast<double>(retry_after) / 10000);
     answer(id, 503, advice, "bounced: trying again is harmless\n");
 }
 
@@ -106,28 +106,28 @@
     hosts_.call_off(r->attempt);
 }
 
-void Node::count(std::uint64_t name, double amount, Time keep_for) {
+void Node::add_to_counter(std::uint64_t name, double amount, Time keep_for) {
     if (tallies_) tallies_->counted(amount);
     counter_.count(name, amount, keep_for);
 }
 
-void Node::arm(Time from_now, std::uint64_t token) {
+void Node::start_timer(Time from_now, std::uint64_t token) {
     const Deadlines::Key key = deadlines_.after(from_now, [this, token] {
         alarms_.erase(token);
-        decisions_.timer(deadlines_.now(), token);
+        decisions_.timer_expired(deadlines_.now(), token);
     });
     // One that is set twice stays set twice; the later one can be taken back.
     alarms_[token] = key;
 }
 
-void Node::disarm(std::uint64_t token) {
+void Node::cancel_timer(std::uint64_t token) {
     const auto found = alarms_.find(token);
     if (found == alarms_.end()) return;
     deadlines_.drop(found->second);
     alarms_.erase(found);
 }
 
-void Node::follow_list() {
+void Node::watch_host_list() {
     // Asked for by the decision module, maybe while it is being told that the last try failed.
     asio::post(io_, [this] {
         deadlines_.turn();
@@ -136,23 +136,23 @@
 }
 
 void Node::log(LogEvent event, std::uint32_t host, const std::string& line) {
-    if (peer_observer_ && (event == LogEvent::host_shut || event == LogEvent::host_back))
-        peer_observer_->host_found(hosts_.id_of(host), event == LogEvent::host_shut);
+    if (peer_observer_ && (event == LogEvent::host_ejected || event == LogEvent::host_restored))
+        peer_observer_->host_found(hosts_.id_of(host), event == LogEvent::host_ejected);
     switch (event) {
         case LogEvent::breaker_open: return log_.tell(Event::breaker_open, line);
         case LogEvent::breaker_closed: return log_.tell(Event::breaker_closed, line);
-        case LogEvent::host_shut: return log_.tell(Event::host_shut, line, {{"host", host}});
-        case LogEvent::host_back: return log_.tell(Event::host_back, line, {{"host", host}});
+        case LogEvent::host_ejected: return log_.tell(Event::host_shut, line, {{"host", host}});
+        case LogEvent::host_restored: return log_.tell(Event::host_back, line, {{"host", host}});
     }
 }
 
-void Node::decided(const Decided& often) {
-    if (tallies_) tallies_->decided(often);
+void Node::report_decisions(const DecisionCounts& often) {
+    if (tallies_) tallies_->report_decisions(often);
     if (const std::string line = decided_line(often); !line.empty()) log_.tell(Event::decided, line);
 }
 
-void Node::total_known(std::uint64_t name, double total) {
-    if (peer_observer_) peer_observer_->total_known(name, total);
+void Node::publish_total(std::uint64_t name, double total) {
+    if (peer_observer_) peer_observer_->publish_total(name, total);
 }
 
 void Node::answer(Handle id, int status, std::string_view fields, std::string_view body) {
@@ -192,7 +192,7 @@
     if (!r || !r->client) return;
     r->client = 0;
     if (tallies_) tallies_->client_gone();
-    decisions_.client_gone(deadlines_.now(), id);
+    decisions_.client_disconnected(deadlines_.now(), id);
     forget_if_over(id);
 }
 
@@ -214,7 +214,7 @@
 }
 
 void Node::counted(std::uint64_t name, AttemptOutcome outcome, double total, Time took) {
-    decisions_.counted(deadlines_.now(), name, outcome, total, took);
+    decisions_.counter_replied(deadlines_.now(), name, outcome, total, took);
 }
 
 void Node::list_told(const Listing& listing) {
@@ -231,9 +231,9 @@
 
 void Node::list_failed() { decisions_.list_failed(deadlines_.now()); }
 
-void Node::others_found(const std::string& host, const HostReport& said) {
+void Node::host_reported(const std::string& host, const HostReport& said) {
     if (const std::uint32_t number = hosts_.number_of(host))
-        decisions_.others_found(deadlines_.now(), number, said);
+        decisions_.host_reported(deadlines_.now(), number, said);
 }
 
 }  // namespace dewweir::net
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -46,21 +46,21 @@
     };
 
     void start_attempt(std::uint32_t request, std::uint32_t host, Time give_up_after) override;
-    void refuse(std::uint32_t request, Time come_back_in) override;
+    void refuse(std::uint32_t request, Time retry_after) override;
     void fail(std::uint32_t request) override;
     void cancel(std::uint32_t request, int attempt) override;
-    void count(std::uint64_t name, double amount, Time keep_for) override;
-    void arm(Time from_now, std::uint64_t token) override;
-    void disarm(std::uint64_t token) override;
-    void follow_list() override;
+    void add_to_counter(std::uint64_t name, double amount, Time keep_for) override;
+    void start_timer(Time from_now, std::uint64_t token) override;
+    void cancel_timer(std::uint64_t token) override;
+    void watch_host_list() override;
     void log(LogEvent event, std::uint32_t host, const std::string& line) override;
-    void decided(const Decided& often) override;
-    void total_known(std::uint64_t name, double total) override;
-    void lacks(const PartOf& of, double units) override {
-        if (peer_observer_) peer_observer_->lacks(of, units);
+    void report_decisions(const DecisionCounts& often) override;
+    void publish_total(std::uint64_t name, double total) override;
+    void report_shortage(const QuotaShare& of, double units) override {
+        if (peer_observer_) peer_observer_->report_shortage(of, units);
     }
-    double others_total(std::uint64_t name) const override {
-        return peer_observer_ ? peer_observer_->others_total(name) : 0;
+    double corroborated_total(std::uint64_t name) const override {
+        return peer_observer_ ? peer_observer_->corroborated_total(name) : 0;
     }
 
     Handle request_received(Handle client, ReceivedRequest&& received) override;
@@ -71,12 +71,12 @@
     void counted(std::uint64_t name, AttemptOutcome outcome, double total, Time took) override;
     void list_told(const Listing& listing) override;
     void list_failed() override;
-    void others_found(const std::string& host, const HostReport& said) override;
-    double spare(const PartOf& of, double units) override {
-        return decisions_.spare(deadlines_.now(), of, units);
+    void host_reported(const std::string& host, const HostReport& said) override;
+    double lend_tokens(const QuotaShare& of, double units) override {
+        return decisions_.lend_tokens(deadlines_.now(), of, units);
     }
-    void lent(std::uint64_t tenant, double units, Time until) override {
-        decisions_.lent(deadlines_.now(), tenant, units, until);
+    void receive_loan(std::uint64_t tenant, double units, Time until) override {
+        decisions_.receive_loan(deadlines_.now(), tenant, units, until);
     }
 
     void answer(Handle request, int status, std::string_view fields, std::string_view body);
--- a/src/net/peer_observer.h
+++ b/src/net/peer_observer.h
@@ -22,19 +22,21 @@
     virtual void host_asked(const std::string& host) = 0;  // an attempt goes there
     virtual void host_ended(const std::string& host, AttemptOutcome outcome, Time took) = 0;  // it has ended
     virtual void list_told(const Listing& listing) = 0;
-    virtual void total_known(std::uint64_t name, double total) = 0;
-    virtual void lacks(const PartOf& of, double units) = 0;  // our part did, of a tenant's quota
+    virtual void publish_total(std::uint64_t name, double total) = 0;
+    virtual void report_shortage(const QuotaShare& of,
+                                 double units) = 0;  // our part did, of a tenant's quota
     // What two others at least were told of that name, or more; 0: nothing.
-    virtual double others_total(std::uint64_t name) const = 0;
+    virtual double corroborated_total(std::uint64_t name) const = 0;
 };
 
 // Who is told what the others found.
 class ReportReceiver {
   public:
     virtual ~ReportReceiver() = default;
-    virtual void others_found(const std::string& host, const HostReport& said) = 0;
-    virtual double spare(const PartOf& of, double units) = 0;  // how many of these our part can do without
-    virtual void lent(std::uint64_t tenant, double units, Time until) = 0;
+    virtual void host_reported(const std::string& host, const HostReport& said) = 0;
+    virtual double lend_tokens(const QuotaShare& of,
+                               double units) = 0;  // how many of these our part can do without
+    virtual void receive_loan(std::uint64_t tenant, double units, Time until) = 0;
 };
 
 }  // namespace dewweir::net
--- a/src/net/tallies.h
+++ b/src/net/tallies.h
@@ -18,7 +18,7 @@
     virtual void refused() = 0;
     virtual void failed() = 0;
     virtual void client_gone() = 0;
-    virtual void decided(const Decided& often) = 0;
+    virtual void report_decisions(const DecisionCounts& often) = 0;
     // Tells the log what was counted since the last time; `now` as the node has it.
     virtual void tell(Log& log, Time now) = 0;
     virtual Time every() const = 0;  // how often that is
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -155,16 +155,16 @@
     soon();
 }
 
-void Peers::total_known(std::uint64_t name, double total) {
-    if (words_ && words_->total_known(part_.deadlines_.now(), name, total)) soon();
+void Peers::publish_total(std::uint64_t name, double total) {
+    if (words_ && words_->publish_total(part_.deadlines_.now(), name, total)) soon();
 }
 
-void Peers::lacks(const PartOf& of, double units) {
-    if (words_ && words_->lacks(part_.deadlines_.now(), of, units)) soon();
+void Peers::report_shortage(const QuotaShare& of, double units) {
+    if (words_ && words_->report_shortage(part_.deadlines_.now(), of, units)) soon();
 }
 
-double Peers::others_total(std::uint64_t name) const {
-    return words_ ? words_->others_total(part_.deadlines_.now(), name) : 0;
+double Peers::corroborated_total(std::uint64_t name) const {
+    return words_ ? words_->corroborated_total(part_.deadlines_.now(), name) : 0;
 }
 
 void Peers::soon() {
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -34,9 +34,9 @@
     void host_asked(const std::string& host) override;
     void host_ended(const std::string& host, AttemptOutcome outcome, Time took) override;
     void list_told(const net::Listing& listing) override;
-    void total_known(std::uint64_t name, double total) override;
-    void lacks(const PartOf& of, double units) override;
-    double others_total(std::uint64_t name) const override;
+    void publish_total(std::uint64_t name, double total) override;
+    void report_shortage(const QuotaShare& of, double units) override;
+    double corroborated_total(std::uint64_t name) const override;
     std::size_t count() const { return live_.count(); }
 
   private:
--- a/src/peers/words.cpp
+++ b/src/peers/words.cpp
@@ -30,9 +30,10 @@
       moves_(rights) {
     members_.on_word = [this](Time now, const std::string&, const Word& word) {
         verdicts::HostWord of_host;
-        const bool fresh = verdicts::CountWords::is_one(word)      ? counts_.came(now, word)
-                           : verdicts::ListWords::is_one(word)     ? lists_.came(now, word)
-                           : limits::Rights::is_one(word)          ? moves_ && rights_.came(now, word)
+        const bool fresh = verdicts::CountWords::is_one(word)  ? counts_.came(now, word)
+                           : verdicts::ListWords::is_one(word) ? lists_.came(now, word)
+                           : limits::QuotaLending::is_lending_item(word)
+                               ? moves_ && rights_.receive(now, word)
                            : verdicts::host_word_of(word, of_host) ? hosts_.came(now, of_host)
                                                                    : false;
         ++(fresh ? passed_on_ : dropped_);
@@ -42,7 +43,7 @@
         const Time now = members_.now();
         std::vector<Word> all = lists_.all(now);
         for (const Word& one : counts_.all(now)) all.push_back(one);
-        for (const Word& one : rights_.all(now)) all.push_back(one);
+        for (const Word& one : rights_.live_items(now)) all.push_back(one);
         for (const verdicts::HostWord& one : hosts_.all(now)) all.push_back(verdicts::word_of(one));
         return all;
     };
@@ -54,16 +55,17 @@
 
 void Words::host_ended(Time now, const std::string& host, AttemptOutcome outcome, Time took) {
     using End = verdicts::HostWords::End;
-    const bool nothing = outcome == AttemptOutcome::called_off || outcome == AttemptOutcome::not_sent;
-    const End end = outcome == AttemptOutcome::ok     ? End::well
-                    : outcome == AttemptOutcome::full ? End::alive  // which says nothing against the host
-                    : nothing                         ? End::nothing
-                                                      : End::failed;
+    const bool nothing = outcome == AttemptOutcome::cancelled || outcome == AttemptOutcome::not_sent;
+    const End end = outcome == AttemptOutcome::ok ? End::well
+                    : outcome == AttemptOutcome::overloaded
+                        ? End::alive  // which says nothing against the host
+                    : nothing ? End::nothing
+                              : End::failed;
     hosts_.ended(now, host, end, took);
 }
 
-bool Words::total_known(Time now, std::uint64_t name, double total) {
-    rights_.answered(now);
+bool Words::publish_total(Time now, std::uint64_t name, double total) {
+    rights_.counter_answered(now);
     return counts_.told(now, name, total);
 }
 
@@ -79,35 +81,36 @@
     for (const Word& one : lists_.to_tell()) members_.tell(one);
     for (const Word& one : counts_.to_tell()) members_.tell(one);
     counts_.forget(now);
-    for (const limits::Want& one : rights_.asked())
-        if (const double units = report_receiver_.spare(one.of, one.units); units >= least_loan)
-            rights_.lent(now, one, units, limits::Moved::over_at(now));
-    for (const limits::Loan& one : rights_.loans()) report_receiver_.lent(one.tenant, one.units, one.until);
-    for (const Word& one : rights_.to_tell(now)) members_.tell(one);
+    for (const limits::LoanRequest& one : rights_.take_requests())
+        if (const double units = report_receiver_.lend_tokens(one.share, one.units); units >= least_loan)
+            rights_.record_loan(now, one, units, limits::LoanBalance::expiry_of(now));
+    for (const limits::Loan& one : rights_.take_loans())
+        report_receiver_.receive_loan(one.tenant, one.units, one.expires_at);
+    for (const Word& one : rights_.take_outgoing(now)) members_.tell(one);
     std::set<std::string> changed;
     for (const std::string& host : hosts_.changed(now)) changed.insert(host);
     for (const std::string& host : lists_.changed(now)) changed.insert(host);
     for (const std::string& host : changed) {
         const verdicts::HostWords::Doubt doubt = hosts_.doubt_of(now, host);
         const verdicts::ListWords::Said listed = lists_.said_of(now, host);
-        const HostReport said{.doubt = doubt.doubt,
-                              .found = doubt.found,
-                              .until = std::max(doubt.until, listed.until),
+        const HostReport said{.suspicion = doubt.doubt,
+                              .last_failure = doubt.found,
+                              .expires_at = std::max(doubt.until, listed.until),
                               .draining = listed.draining,
                               .up_since = listed.up_since};
         const bool nothing = doubt.shut_by + doubt.well_by == 0 && listed.until == 0;
         if (nothing ? told_.erase(host) > 0 : (told_[host] = said, true))
-            report_receiver_.others_found(host, said);
+            report_receiver_.host_reported(host, said);
     }
 }
 
-bool Words::lacks(Time now, const PartOf& of, double units) {
-    if (moves_) rights_.lacked(now, of, units);
-    return moves_ && rights_.next(now) <= now + 1;
+bool Words::report_shortage(Time now, const QuotaShare& of, double units) {
+    if (moves_) rights_.report_shortage(now, of, units);
+    return moves_ && rights_.next_timer(now) <= now + 1;
 }
 
 Time Words::next(Time now) const {
-    return std::min({hosts_.next(now), lists_.next(now), counts_.next(now), rights_.next(now)});
+    return std::min({hosts_.next(now), lists_.next(now), counts_.next(now), rights_.next_timer(now)});
 }
 
 json Words::status(Time now) const {
@@ -120,12 +123,12 @@
                          {"weight", one.origin == hosts_.self() ? 1.0 : hosts_.weight(now, one.origin)}});
     for (const auto& [host, said] : told_)
         hosts.push_back({{"host", host},
-                         {"doubt", said.doubt},
+                         {"doubt", said.suspicion},
                          {"draining", said.draining},
                          {"started_again", said.up_since > 0},
-                         {"for_ms", std::max<Time>(0, said.until - now) / 10}});
-    const limits::Rights::Tally& moved = rights_.tally();
-    const json rights = {{"wants", moved.wants},         {"loans_out", moved.loans_out},
+                         {"for_ms", std::max<Time>(0, said.expires_at - now) / 10}});
+    const limits::QuotaLending::Counters& moved = rights_.counters();
+    const json rights = {{"wants", moved.requests},      {"loans_out", moved.loans_out},
                          {"units_out", moved.units_out}, {"loans_in", moved.loans_in},
                          {"units_in", moved.units_in},   {"refused", moved.refused}};
     return {{"words", words},
--- a/src/peers/words.h
+++ b/src/peers/words.h
@@ -26,9 +26,9 @@
     void host_found(Time now, const std::string& host, bool shut);
     Time host_asked(Time now, const std::string& host) { return hosts_.asked(now, host); }
     void host_ended(Time now, const std::string& host, AttemptOutcome outcome, Time took);
-    bool total_known(Time now, std::uint64_t name, double total);  // whether there is news to tell
-    bool lacks(Time now, const PartOf& of, double units);          // whether there is something to tell
-    double others_total(Time now, std::uint64_t name) const { return counts_.known(now, name); }
+    bool publish_total(Time now, std::uint64_t name, double total);      // whether there is news to tell
+    bool report_shortage(Time now, const QuotaShare& of, double units);  // whether there is something to tell
+    double corroborated_total(Time now, std::uint64_t name) const { return counts_.known(now, name); }
     void list_told(Time now, const net::Listing& listing);
     void gone(const std::string& origin) { hosts_.gone(origin); }
 
@@ -44,7 +44,7 @@
     verdicts::HostWords hosts_;
     verdicts::ListWords lists_;
     verdicts::CountWords counts_;
-    limits::Rights rights_;
+    limits::QuotaLending rights_;
     bool moves_;
     std::uint64_t passed_on_ = 0, dropped_ = 0;
     std::map<std::string, HostReport> told_;  // to the decisions, while it stands
--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -30,7 +30,9 @@
 
     void start_attempt(std::uint32_t id, Request& r, Host& h) {
         if (r.attempts == 0 && !ceiling_holds(tenant_of(r), r.units)) return reject(id, r, 0);
-        count(h.trial ? Decision::trial_piece : warmth(h) < 1 ? Decision::to_cold : Decision::to_warm);
+        count(h.trial         ? Decision::sent_as_probe
+              : warmth(h) < 1 ? Decision::sent_to_cold_host
+                              : Decision::sent_to_warm_host);
         r.stage = Stage::out;
         r.host = h.id;
         r.sent = now;
@@ -75,18 +77,19 @@
 
     void attempt_ended(std::uint32_t id, Host& h, Outcome outcome, Time took, bool settled, double billed) {
         // Work that is called off may run on unseen: its place is not free before a usual time has passed.
-        if (outcome == Outcome::called_off) arm(whole(h.slowness), place_free, h.id);
+        if (outcome == Outcome::cancelled) arm(whole(h.slowness), place_free, h.id);
         else free_place(h);
         count(static_cast<Decision>(static_cast<int>(Decision::served) + static_cast<int>(outcome)));
         const auto found = requests.find(id);
         const bool moot = outcome == Outcome::not_sent;
-        const bool ran = outcome != Outcome::full && outcome != Outcome::connect_failed && !moot;
-        const bool answered = outcome == Outcome::ok || outcome == Outcome::full || outcome == Outcome::error;
+        const bool ran = outcome != Outcome::overloaded && outcome != Outcome::connect_failed && !moot;
+        const bool answered =
+            outcome == Outcome::ok || outcome == Outcome::overloaded || outcome == Outcome::error;
         h.connected = answered ? now + connection_kept : 0;
         if (outcome == Outcome::ok) host_served(h, took);
-        else if (outcome == Outcome::full)
+        else if (outcome == Outcome::overloaded)
             host_full(h, found != requests.end() ? &tenant_of(found->second).plan : nullptr);
-        else if (outcome != Outcome::called_off && !moot) host_failed(h, outcome);
+        else if (outcome != Outcome::cancelled && !moot) host_failed(h, outcome);
         // Guards against answers that never count since their clients left first: an overloaded host would be
         // known by its quick ones alone. It took that long at least.
         else if (!moot && few_places() && took > std::max(h.slowness, 2 * aim()))
@@ -135,10 +138,10 @@
             if (Host& h = hosts.at(r.host); h.last_word < r.sent) host_failed(h, Outcome::timeout);
         }
         for (const std::uint32_t id : late)
-            count(Decision::late), reject(id, requests.at(id), whole(typical));
+            count(Decision::expired_in_queue), reject(id, requests.at(id), whole(typical));
         place();
         if (since(told_at) > 5 * goal) {
-            gateway.decided(std::exchange(decided, {}));
+            gateway.report_decisions(std::exchange(decided, {}));
             told_at = now;
         }
         if (since(forgot_at) > kept) forget_idle();
--- a/src/policy/beliefs.h
+++ b/src/policy/beliefs.h
@@ -27,7 +27,7 @@
     std::unordered_map<std::uint64_t, Tenant> tenants;  // by id, never walked but to forget
     std::map<std::uint32_t, Request> requests;
     std::deque<std::uint32_t> line;
-    Decided decided{};  // since it was last told
+    DecisionCounts decided{};  // since it was last told
     // Of all hosts: the usual time of an attempt, what it is with little out, how far it swings; what may
     // be out in all, and what is.
     double typical, ease, swing = 0, reach = 1;
@@ -54,9 +54,11 @@
         return about / 2 + std::uniform_int_distribution<Time>(0, std::max<Time>(1, about))(chance);
     }
     static void move(double& belief, double seen, double part) { belief += (seen - belief) / part; }
-    void arm(Time from_now, Alarm alarm, std::uint64_t id = 0) { gateway.arm(from_now, id << 3 | alarm); }
+    void arm(Time from_now, Alarm alarm, std::uint64_t id = 0) {
+        gateway.start_timer(from_now, id << 3 | alarm);
+    }
     // Where alarms can be taken back, one that has lost its use wakes nobody; it does nothing elsewhere.
-    void disarm(Alarm alarm, std::uint64_t id) { gateway.disarm(id << 3 | alarm); }
+    void disarm(Alarm alarm, std::uint64_t id) { gateway.cancel_timer(id << 3 | alarm); }
     void count(Decision decision) { ++decided[static_cast<std::size_t>(decision)]; }
 
     Time window_of(const QuotaPlan& p) const {
--- a/src/policy/buckets.h
+++ b/src/policy/buckets.h
@@ -22,7 +22,7 @@
     void call(Asked asked, std::uint32_t request, const Tenant& t, std::int64_t window, double amount) {
         const std::uint64_t name = name_of(t, window);
         calls[name].push_back({asked, request, t.id, window, amount});
-        gateway.count(name, amount, std::min<Time>(2 * t.window_long, 600000));
+        gateway.add_to_counter(name, amount, std::min<Time>(2 * t.window_long, 600000));
     }
 
     // Brings a tenant's record up to this moment: a new window begins, the buckets fill.
@@ -44,7 +44,7 @@
         return t;
     }
 
-    PartOf part_of(const Tenant& t) const {
+    QuotaShare part_of(const Tenant& t) const {
         return {t.id, static_cast<int>(&t.plan - plans.data()), t.gateways, t.plan.rate, t.plan.burst};
     }
     // Our part of the burst, or one unit where that is more.
@@ -94,7 +94,7 @@
         // Guards against a counter that forgets or comes back empty: the tenant has no fresh window by it.
         // So does one that holds under half of what two others were told: a little less are units given back.
         tally.own += made.amount;
-        const double others = gateway.others_total(name_of(t, made.window));
+        const double others = gateway.corroborated_total(name_of(t, made.window));
         const double known = std::max(tally.own, 2 * total < others ? others : 0);
         if (total < known - 0.01) {
             const double should = std::max(tally.total + made.amount, known);
@@ -107,12 +107,12 @@
         tally.total = total;
         // Going over to the part and back must mint no quota: it follows what the bucket was told to hold.
         t.local_tokens = std::clamp(local_capacity(t) * t.tokens / t.plan.burst, 0.0, room_of(t));
-        gateway.total_known(name_of(t, made.window), total);
+        gateway.publish_total(name_of(t, made.window), total);
     }
 
     // What our part can do without of what another's lacks; half stays for the tenant's next request here.
     // Parts under a unit let in by chance, each for itself: they do not move.
-    double spare(const PartOf& of, double units) {
+    double lend_tokens(const QuotaShare& of, double units) {
         const auto known = tenants.find(of.tenant);
         const int ours = known == tenants.end() ? gateways : known->second.gateways;
         if (of.plan < 0 || of.plan >= static_cast<int>(plans.size()) || of.gateways != ours) return 0;
--- a/src/policy/decisions.cpp
+++ b/src/policy/decisions.cpp
@@ -39,17 +39,19 @@
     ++state_->list_failures;
 }
 
-void Decisions::others_found(Time now, std::uint32_t id, const HostReport& said) {
+void Decisions::host_reported(Time now, std::uint32_t id, const HostReport& said) {
     State& s = state_->at(now);
-    if (const auto known = s.hosts.find(id); known != s.hosts.end()) s.others_found(known->second, said);
+    if (const auto known = s.hosts.find(id); known != s.hosts.end()) s.host_reported(known->second, said);
     s.place();
 }
 
-double Decisions::spare(Time now, const PartOf& of, double units) { return state_->at(now).spare(of, units); }
+double Decisions::lend_tokens(Time now, const QuotaShare& of, double units) {
+    return state_->at(now).lend_tokens(of, units);
+}
 
-void Decisions::lent(Time now, std::uint64_t tenant, double units, Time until) {
+void Decisions::receive_loan(Time now, std::uint64_t tenant, double units, Time until) {
     auto& all = state_->at(now).tenants;
-    if (const auto at = all.find(tenant); at != all.end()) at->second.moved.come(now, units, until);
+    if (const auto at = all.find(tenant); at != all.end()) at->second.moved.borrow(now, units, until);
 }
 
 void Decisions::request_received(Time now, std::uint32_t id, int route_class, int plan, std::uint64_t tenant,
@@ -68,19 +70,20 @@
     if (policy::Request* const s = state_->at(now).open_one(id)) s->stream = true;
 }
 
-void Decisions::client_gone(Time now, std::uint32_t id) { state_->at(now).end_early(id, true); }
+void Decisions::client_disconnected(Time now, std::uint32_t id) { state_->at(now).end_early(id, true); }
 
-void Decisions::counted(Time now, std::uint64_t name, AttemptOutcome outcome, double total, Time took) {
+void Decisions::counter_replied(Time now, std::uint64_t name, AttemptOutcome outcome, double total,
+                                Time took) {
     state_->at(now).counted(name, outcome, total, took);
 }
 
-void Decisions::timer(Time now, std::uint64_t token) {
+void Decisions::timer_expired(Time now, std::uint64_t token) {
     State& s = state_->at(now);
     const auto id = static_cast<std::uint32_t>(token >> 3);
     switch (token & 7) {
         case policy::beat: return s.on_beat();
         case policy::limit: return s.end_early(id, false);
-        case policy::follow: return s.gateway.follow_list();
+        case policy::follow: return s.gateway.watch_host_list();
         case policy::place_free: return s.free_place(s.hosts.at(id)), s.place();
         case policy::count_late: return s.on_count_late(id);
     }
--- a/src/policy/hosts.h
+++ b/src/policy/hosts.h
@@ -60,30 +60,30 @@
     // than ours and says that it drains keeps work off. Guards against words that are wrong: half of the
     // hosts stay open to us whatever is said, and one gateway of all, by chance, tries it every four goals or
     // so, whatever they hold; all wait anew when it was in vain, and try at once when it is well again.
-    void others_found(Host& h, const HostReport& said) {
+    void host_reported(Host& h, const HostReport& said) {
         // One that lies ahead of our clock is nonsense, and would stay cold for good.
         if (said.up_since > h.up_since && said.up_since <= now + fall) started_again(h, said.up_since);
         int closed = 1, all = 0;
         for (const auto& [id, one] : hosts)
             if (one.listed && one.id != h.id) ++all, closed += one.trial || now < one.kept_off_until;
         const bool may = 2 * closed <= all + 1;
-        h.kept_off_until = said.draining && may ? said.until : 0;
-        const bool fails = said.doubt + (h.failures > 0) >= 1.5;
+        h.kept_off_until = said.draining && may ? said.expires_at : 0;
+        const bool fails = said.suspicion + (h.failures > 0) >= 1.5;
         if (h.by_word && !fails) {
             h.trial = h.by_word = false;
             h.shut_until = 0;
-        } else if (h.trial && said.doubt < 0) {
+        } else if (h.trial && said.suspicion < 0) {
             h.shut_until = now;
-        } else if (h.trial && said.found > h.found_failing) {
-            h.shut_until = said.found + fleets_turn();
-        } else if (h.trial && said.found == 0 && std::exchange(h.found_failing, 0) > 0) {
+        } else if (h.trial && said.last_failure > h.found_failing) {
+            h.shut_until = said.last_failure + fleets_turn();
+        } else if (h.trial && said.last_failure == 0 && std::exchange(h.found_failing, 0) > 0) {
             // Nobody says anything of it any more: our own clock again.
             h.shut_until = std::min(h.shut_until, now + jittered(h.shut_for));
         } else if (!h.trial && fails && may) {
             h.trial = h.by_word = true;
             h.shut_until = now + fleets_turn();
         }
-        h.found_failing = std::max(h.found_failing, said.found);
+        h.found_failing = std::max(h.found_failing, said.last_failure);
     }
 
     // Others found it failing as well, and lately: one of all tries it, by chance, about every four goals.
@@ -165,7 +165,7 @@
         if (2 * hosts_open < hosts_listed + 2 && !h.trial) return;  // when all fail at once none is to blame
         hosts_open -= !h.trial;
         if (std::exchange(h.by_word, false) || !h.trial)
-            told_of(LogEvent::host_shut, h, " shut: failures in a row");
+            told_of(LogEvent::host_ejected, h, " shut: failures in a row");
         h.shut_for = std::clamp(2 * h.shut_for, between_pieces(), 8 * between_pieces());
         h.shut_until = now + (held_by_others(h) ? fleets_turn() : jittered(h.shut_for));
         h.trial = true;
@@ -187,7 +187,7 @@
     void host_served(Host& h, Time time) {
         const auto took = static_cast<double>(time);
         h.by_word = false;
-        if (std::exchange(h.trial, false)) told_of(LogEvent::host_back, h, " back");
+        if (std::exchange(h.trial, false)) told_of(LogEvent::host_restored, h, " back");
         move(failing, 0, 16), move(mute, 0, 64);
         h.shut_for = h.failures = 0;
         h.last_word = now;
--- a/src/policy/quota.h
+++ b/src/policy/quota.h
@@ -19,7 +19,7 @@
         // Overload: what cannot be answered in useful time is refused before it is counted. A try may be its
         // client's third, which is not told, so the line is kept well under the goal.
         if (!line.empty() && wait_in_line() > static_cast<double>(r.goal_at - now) / 8)
-            return count(Decision::long_line), reject(id, r, whole(wait_in_line() / 2));
+            return count(Decision::queue_too_long), reject(id, r, whole(wait_in_line() / 2));
         check_quota(id, r);
     }
 
@@ -33,7 +33,7 @@
         // window, longer at a crowded counter, or before its bucket has refilled; a tiny local one decides.
         if (now < t.over_until && tiny_bucket(t)) return decide_locally(id, r);
         if (now < t.over_until && t.tokens < 0.9 * r.units)
-            return count(Decision::over_already), beyond(id, r, r.units);
+            return count(Decision::still_over_quota), beyond(id, r, r.units);
         // Guards a crowded counter: local buckets decide a part, and a tenant's next call adds for them too.
         // Requests whose local bucket is short call first: the counter may know of room elsewhere.
         const bool in_doubt = at_stake(t) && t.local_tokens < r.units;
@@ -56,9 +56,9 @@
         // Departure: over by the window, but the quota's bucket, replayed from the totals, holds the units.
         if (estimate <= t.plan.burst || t.tokens >= 0) {
             t.over_until = 0;
-            return count(Decision::counted_in), take_in(id, r);
+            return count(Decision::admitted_by_counter), take_in(id, r);
         }
-        count(Decision::counted_over);
+        count(Decision::over_quota_by_counter);
         // At a crowded counter, what is not given back pays for what the tiny local buckets let in.
         give_back(r, !tiny_bucket(t) || counted_part >= 0.5);
         t.over_until = now + whole(static_cast<double>(t.window_long) / counted_part);
@@ -70,12 +70,12 @@
         Tenant& t = brought_up(tenant_of(r));
         // A local bucket smaller than the request lets it in by chance, so that all local buckets together
         // let in the quota: neither nothing nor one request at each gateway.
-        const double held = t.local_tokens + t.moved.held(now);
+        const double held = t.local_tokens + t.moved.borrowed(now);
         const bool pass = held >= r.units * draw() || (tiny_bucket(t) && !at_stake(t));
-        const double rest = t.moved.use(now, r.units);
+        const double rest = t.moved.spend(now, r.units);
         t.local_tokens = std::max(0.0, t.local_tokens - rest);
-        count(pass ? Decision::local_in : Decision::local_over);
-        if (!pass) return gateway.lacks(part_of(t), r.units), beyond(id, r, r.units);
+        count(pass ? Decision::admitted_locally : Decision::over_quota_locally);
+        if (!pass) return gateway.report_shortage(part_of(t), r.units), beyond(id, r, r.units);
         r.borrowed = r.units - rest;
         t.tokens -= r.units;
         t.current.total += r.units;
--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -71,7 +71,7 @@
     const double room = (tenant.check.limit - own - tenant.others) / tenant.gateways;
     const bool ahead = fresh && static_cast<double>(tenant.ahead.size()) + 1 <= room;
     tenant.own.add(now, window, 1);
-    Decision decision{ahead ? Admitted::passed : Admitted::asked};
+    Decision decision{ahead ? Admitted::passed : Admitted::pending};
     decision.statement = state(now, id, tenant);
     decision.wants_answer = true;
     if (ahead) tenant.ahead.push_back(decision.statement->sequence);
--- a/src/quota/admission.h
+++ b/src/quota/admission.h
@@ -34,7 +34,7 @@
 
 class Admission {
   public:
-    Admission(GatewayLife self, const QuotaBound& bound) : self_(self), bound_(bound) {}
+    Admission(GatewayIncarnation self, const QuotaBound& bound) : self_(self), bound_(bound) {}
 
     // `holder_reachable`: calls to the tenant's holder are worth making now. `gateways`: how many share the
     // quota.
@@ -73,7 +73,7 @@
     Duration time_until_served(TimePoint now, Tenant& tenant) const;
     void refill(TimePoint now, Tenant& tenant) const;
 
-    GatewayLife self_;
+    GatewayIncarnation self_;
     QuotaBound bound_;
     std::unordered_map<TenantId, Tenant> tenants_;
 };
--- a/src/quota/count_holder.h
+++ b/src/quota/count_holder.h
@@ -12,12 +12,12 @@
 namespace dewweir::quota {
 
 using TenantId = std::uint64_t;
-using GatewayLife = std::uint64_t;  // of one gateway process
+using GatewayIncarnation = std::uint64_t;  // of one gateway process
 
 // What a gateway states of a tenant: its own count, in windows by its own clock.
 struct Statement {
     TenantId tenant = 0;
-    GatewayLife gateway = 0;
+    GatewayIncarnation gateway = 0;
     std::uint64_t sequence = 0;  // grows within the gateway's life
     std::chrono::milliseconds window{0};
     std::chrono::milliseconds elapsed{0};  // of its window
@@ -46,7 +46,7 @@
         SlidingCount count;
     };
     struct Tenant {
-        std::map<GatewayLife, Stated> gateways;
+        std::map<GatewayIncarnation, Stated> gateways;
         TimePoint spoken_of{};
     };
     std::map<TenantId, Tenant> tenants_;
--- a/src/records.h
+++ b/src/records.h
@@ -43,7 +43,7 @@
     bool previous_known = false;
     std::vector<std::uint32_t> readers{};
     double tokens = 0, local_tokens = 0, ceiling = 0;  // the bucket replayed; our part of it; of the ceiling
-    limits::Moved moved{};                             // of our part to other gateways, and of theirs to us
+    limits::LoanBalance moved{};                       // of our part to other gateways, and of theirs to us
     Time tokens_at = 0, local_at = 0, ceiling_at = 0, over_until = 0;
 };
 
--- a/src/rig/counter_service.cpp
+++ b/src/rig/counter_service.cpp
@@ -78,7 +78,7 @@
     }
     const auto answer = counter_.call(loop_.deadlines.now(), name, amount, life * 10);
     const std::uint64_t number = way.first + way.due.size();
-    std::string said = answer.outcome == AttemptOutcome::full ? "busy" : "ok " + total_of(answer.total);
+    std::string said = answer.outcome == AttemptOutcome::overloaded ? "busy" : "ok " + total_of(answer.total);
     if (answer.outcome == AttemptOutcome::ok && spoilt_ > 0) --spoilt_, said = "ok ?";
     way.due.push_back({false, said + "\r\n"});
     if (answer.at < 0) return;  // nothing comes, nor anything behind it on this connection
--- a/src/setting_names.cpp
+++ b/src/setting_names.cpp
@@ -75,7 +75,7 @@
     settings[our_words(path, '.')] = named ? value : our_words(value, ',');
 }
 
-std::string their_words(const std::string& ours) {
+std::string operator_name(const std::string& ours) {
     std::string theirs;
     for (std::size_t from = 0; from <= ours.size();) {
         const std::size_t to = std::min(ours.find('.', from), ours.size());
--- a/src/setting_names.h
+++ b/src/setting_names.h
@@ -15,6 +15,6 @@
 // The same for lines of path=value.
 Settings settings_of_lines(const std::string& lines);
 // The operators' path for a name of ours, for messages to them.
-std::string their_words(const std::string& ours);
+std::string operator_name(const std::string& ours);
 
 }  // namespace dewweir
--- a/tests/limits/decisions.cpp
+++ b/tests/limits/decisions.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 struct Parts : Stage {
-    std::vector<std::pair<PartOf, double>> lacking;
-    void lacks(const PartOf& of, double units) override { lacking.emplace_back(of, units); }
+    std::vector<std::pair<QuotaShare, double>> lacking;
+    void report_shortage(const QuotaShare& of, double units) override { lacking.emplace_back(of, units); }
 };
 
 // Three gateways, 12 units a quota and three hosts; the counter never answers.
@@ -68,7 +68,7 @@
         while (!stage.asked.empty()) {
             const auto [name, amount] = stage.asked.back();
             stage.asked.pop_back();
-            decisions.counted(stage.now, name, AttemptOutcome::timeout, 0, 500);
+            decisions.counter_replied(stage.now, name, AttemptOutcome::timeout, 0, 500);
         }
         bool in = false;
         for (const std::string& one : stage.seen) in |= one.rfind("execute", 0) == 0;
@@ -90,13 +90,14 @@
     Silent gateway;
     CHECK(gateway.let_in(7, 8) == 4);  // a third of twelve
     REQUIRE(gateway.stage.lacking.size() == 4);
-    const PartOf of = gateway.stage.lacking[0].first;
-    CHECK(of == PartOf{7, 0, 3, 0.0006, 12});
-    gateway.decisions.lent(gateway.stage.now, 7, 3, limits::Moved::over_at(gateway.stage.now));
+    const QuotaShare of = gateway.stage.lacking[0].first;
+    CHECK(of == QuotaShare{7, 0, 3, 0.0006, 12});
+    gateway.decisions.receive_loan(gateway.stage.now, 7, 3,
+                                   limits::LoanBalance::expiry_of(gateway.stage.now));
     CHECK(gateway.let_in(7, 8) == 3);
-    gateway.decisions.lent(gateway.stage.now, 7, 3, gateway.stage.now - 1);
-    gateway.decisions.lent(gateway.stage.now, 1234, 3,
-                           limits::Moved::over_at(gateway.stage.now));  // of nobody known
+    gateway.decisions.receive_loan(gateway.stage.now, 7, 3, gateway.stage.now - 1);
+    gateway.decisions.receive_loan(gateway.stage.now, 1234, 3,
+                                   limits::LoanBalance::expiry_of(gateway.stage.now));  // of nobody known
     CHECK(gateway.let_in(7, 8) == 0);
 }
 
@@ -105,13 +106,13 @@
     "nothing") {
     Silent gateway;
     const Time now = gateway.stage.now;
-    for (const PartOf& other :
-         {PartOf{7, 1, 3, 0.0006, 12}, PartOf{7, -1, 3, 0.0006, 12}, PartOf{7, 0, 2, 0.0006, 12},
-          PartOf{7, 0, 3, 0.0007, 12}, PartOf{7, 0, 3, 0.0006, 13}})
-        CHECK(gateway.decisions.spare(now, other, 9) == 0);
-    const PartOf of{7, 0, 3, 0.0006, 12};
-    CHECK(gateway.decisions.spare(now, of, 0.5) == 0.5);
-    CHECK(gateway.decisions.spare(now, of, 9) == 1.75);  // half of what is left
+    for (const QuotaShare& other :
+         {QuotaShare{7, 1, 3, 0.0006, 12}, QuotaShare{7, -1, 3, 0.0006, 12}, QuotaShare{7, 0, 2, 0.0006, 12},
+          QuotaShare{7, 0, 3, 0.0007, 12}, QuotaShare{7, 0, 3, 0.0006, 13}})
+        CHECK(gateway.decisions.lend_tokens(now, other, 9) == 0);
+    const QuotaShare of{7, 0, 3, 0.0006, 12};
+    CHECK(gateway.decisions.lend_tokens(now, of, 0.5) == 0.5);
+    CHECK(gateway.decisions.lend_tokens(now, of, 9) == 1.75);  // half of what is left
     // A second and a half would fill the part; what is out is no room to fill.
     gateway.stage.now += 15000;
     CHECK(gateway.let_in(7, 8) == 1);
--- a/tests/limits/moved.cpp
+++ b/tests/limits/moved.cpp
@@ -12,34 +12,35 @@
 #include "limits/bounds.h"
 
 using namespace dewweir;
-using limits::Moved;
+using limits::LoanBalance;
 
 TEST_CASE("what is lent in a slot takes room to the end of the next, and is held no longer") {
-    const Time now = 10 * Moved::slot + 500, until = Moved::over_at(now);
-    CHECK(until == 12 * Moved::slot);
-    Moved lender, taker;
+    const Time now = 10 * LoanBalance::slot + 500, until = LoanBalance::expiry_of(now);
+    CHECK(until == 12 * LoanBalance::slot);
+    LoanBalance lender, taker;
     lender.lend(now, 3);
-    taker.come(now + 2000, 3, until);
-    for (const Time at : {now + 2000, 11 * Moved::slot, until - 1}) {
+    taker.borrow(now + 2000, 3, until);
+    for (const Time at : {now + 2000, 11 * LoanBalance::slot, until - 1}) {
         CHECK(lender.lent(at) == 3);
-        CHECK(taker.held(at) == 3);
+        CHECK(taker.borrowed(at) == 3);
     }
     CHECK(lender.lent(until) == 0);
-    CHECK(taker.held(until) == 0);
+    CHECK(taker.borrowed(until) == 0);
 }
 
 TEST_CASE("what comes late, too early or torn is not taken; what is over first is used first") {
-    const Time now = 10 * Moved::slot;
-    Moved taker;
-    for (const Time until : {now, now - Moved::slot, now + 3 * Moved::slot, now + Moved::slot + 1, Time{0}})
-        taker.come(now, 1, until);
-    taker.come(now, -5, now + Moved::slot);
-    CHECK(taker.held(now) == 0);
-    taker.come(now, 2, now + Moved::slot);
-    taker.come(now, 4, now + 2 * Moved::slot);
-    CHECK(taker.use(now, 3) == 0);
-    CHECK(taker.held(now + Moved::slot) == 3);
-    CHECK(taker.use(now + Moved::slot, 5) == 2);
+    const Time now = 10 * LoanBalance::slot;
+    LoanBalance taker;
+    for (const Time until :
+         {now, now - LoanBalance::slot, now + 3 * LoanBalance::slot, now + LoanBalance::slot + 1, Time{0}})
+        taker.borrow(now, 1, until);
+    taker.borrow(now, -5, now + LoanBalance::slot);
+    CHECK(taker.borrowed(now) == 0);
+    taker.borrow(now, 2, now + LoanBalance::slot);
+    taker.borrow(now, 4, now + 2 * LoanBalance::slot);
+    CHECK(taker.spend(now, 3) == 0);
+    CHECK(taker.borrowed(now + LoanBalance::slot) == 3);
+    CHECK(taker.spend(now + LoanBalance::slot, 5) == 2);
 }
 
 // Parts as the decisions keep them: each refills to its room, and lets in what it holds.
@@ -50,7 +51,7 @@
         const int gateways = 2 + any(6);
         const double rate = 0.0005 * (1 + any(20)), burst = gateways * (1 + any(9));  // a tenth of a ms
         struct Part {
-            Moved moved;
+            LoanBalance moved;
             double share;
         };
         std::vector<Part> parts(static_cast<std::size_t>(gateways), {{}, burst / gateways});
@@ -69,27 +70,27 @@
                 one.share = std::min(std::max(0.0, burst / gateways - one.moved.lent(now)),
                                      one.share + rate / gateways * static_cast<double>(passed));
             Part& one = parts[static_cast<std::size_t>(any(gateways - 1))];
-            const double held = one.share + one.moved.held(now);
+            const double held = one.share + one.moved.borrowed(now);
             switch (any(3)) {
                 case 0: {  // lends half, whose word may be lost
                     const double units = one.share / 2;
                     one.share -= units;
                     one.moved.lend(now, units);
                     if (any(4))
-                        flying.push_back(
-                            {static_cast<std::size_t>(any(gateways - 1)), units, Moved::over_at(now)});
+                        flying.push_back({static_cast<std::size_t>(any(gateways - 1)), units,
+                                          LoanBalance::expiry_of(now)});
                     break;
                 }
-                case 1:  // a word arrives, in any order, once at the most (limits::Rights sees to that)
+                case 1:  // a word arrives, in any order, once at the most (limits::QuotaLending sees to that)
                     if (!flying.empty()) {
                         const auto at = flying.begin() + any(static_cast<int>(flying.size()) - 1);
-                        parts[at->to].moved.come(now, at->units, at->until);
+                        parts[at->to].moved.borrow(now, at->units, at->until);
                         flying.erase(at);
                     }
                     break;
                 default: {
                     const double units = std::min(held, 1.0 + any(3));
-                    one.share -= one.moved.use(now, units);
+                    one.share -= one.moved.spend(now, units);
                     let_in.emplace_back(now, units);
                 }
             }
@@ -106,13 +107,13 @@
 }
 
 TEST_CASE("bounds: a burst an event, parts under a unit hold one each") {
-    const limits::Bounds wide = limits::quota_bounds(5, 15, 3);
-    CHECK(wide.part == 5);
-    CHECK(wide.an_event == 15);
-    CHECK(wide.of_a_minute == doctest::Approx(0.05));
-    CHECK(wide.moves);
-    const limits::Bounds tiny = limits::quota_bounds(2, 6, 24);
-    CHECK(tiny.an_event == 24);
-    CHECK(tiny.a_restart == 1);
-    CHECK_FALSE(tiny.moves);
+    const limits::QuotaBounds wide = limits::quota_bounds(5, 15, 3);
+    CHECK(wide.share == 5);
+    CHECK(wide.event_excess == 15);
+    CHECK(wide.event_excess_of_minute == doctest::Approx(0.05));
+    CHECK(wide.lendable);
+    const limits::QuotaBounds tiny = limits::quota_bounds(2, 6, 24);
+    CHECK(tiny.event_excess == 24);
+    CHECK(tiny.restart_excess == 1);
+    CHECK_FALSE(tiny.lendable);
 }
--- a/tests/limits/rights.cpp
+++ b/tests/limits/rights.cpp
@@ -15,20 +15,20 @@
 namespace {
 
 constexpr std::uint64_t tenant = 77;
-const PartOf part{tenant, 1, 2, 0.0005, 20};
-const RightsTerms terms;
+const QuotaShare part{tenant, 1, 2, 0.0005, 20};
+const QuotaLendingOptions terms;
 
 // `by` lacks, `from` lends as much as is asked: the word of the loan.
-members::Word loan_to(Rights& by, Rights& from, Time now, double units) {
-    by.lacked(now, part, units);
-    const auto wants = by.to_tell(now);
+members::Word loan_to(QuotaLending& by, QuotaLending& from, Time now, double units) {
+    by.report_shortage(now, part, units);
+    const auto wants = by.take_outgoing(now);
     REQUIRE(wants.size() == 1);
-    CHECK(from.came(now, wants[0]));
-    const auto asked = from.asked();
+    CHECK(from.receive(now, wants[0]));
+    const auto asked = from.take_requests();
     REQUIRE(asked.size() == 1);
-    CHECK(asked[0].of == part);
-    from.lent(now, asked[0], units, Moved::over_at(now));
-    const auto loans = from.to_tell(now);
+    CHECK(asked[0].share == part);
+    from.record_loan(now, asked[0], units, LoanBalance::expiry_of(now));
+    const auto loans = from.take_outgoing(now);
     REQUIRE(loans.size() == 1);
     return loans[0];
 }
@@ -36,86 +36,86 @@
 }  // namespace
 
 TEST_CASE("a want is answered once, a loan is taken once, by whom it is for, and not past its life") {
-    Rights a(terms, "a", 1000, 1), b(terms, "b", 1000, 2), c(terms, "c", 1000, 3);
+    QuotaLending a(terms, "a", 1000, 1), b(terms, "b", 1000, 2), c(terms, "c", 1000, 3);
     const members::Word loan = loan_to(a, b, 100, 3);
-    CHECK_FALSE(b.came(200, loan));  // its own, by another's mouth
-    CHECK(c.came(200, loan));        // passed on
-    CHECK_FALSE(c.came(200, loan));
-    CHECK(c.loans().empty());
-    CHECK_FALSE(a.came(300, loan));  // it has come where it was to come
-    CHECK_FALSE(a.came(310, loan));
-    const auto taken = a.loans();
+    CHECK_FALSE(b.receive(200, loan));  // its own, by another's mouth
+    CHECK(c.receive(200, loan));        // passed on
+    CHECK_FALSE(c.receive(200, loan));
+    CHECK(c.take_loans().empty());
+    CHECK_FALSE(a.receive(300, loan));  // it has come where it was to come
+    CHECK_FALSE(a.receive(310, loan));
+    const auto taken = a.take_loans();
     REQUIRE(taken.size() == 1);
     CHECK(taken[0].tenant == tenant);
     CHECK(taken[0].units == 3);
-    CHECK(taken[0].until == Moved::over_at(100));
+    CHECK(taken[0].expires_at == LoanBalance::expiry_of(100));
     // Long after, by a link that made it young again: its lender's later ones are taken, it is not.
-    a.to_tell(100 + 2 * terms.life);
+    a.take_outgoing(100 + 2 * terms.life);
     members::Word again = loan;
     again.born = 100 + 2 * terms.life;
-    a.came(100 + 2 * terms.life, again);
-    CHECK(a.loans().empty());
-    CHECK_FALSE(a.came(100 + terms.life, loan));
+    a.receive(100 + 2 * terms.life, again);
+    CHECK(a.take_loans().empty());
+    CHECK_FALSE(a.receive(100 + terms.life, loan));
 }
 
 TEST_CASE("what an earlier process of ours asked for is not ours, and a lender that comes back lends anew") {
-    Rights a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
+    QuotaLending a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
     const members::Word loan = loan_to(a, b, 100, 3);
-    Rights later(terms, "a", 2000, 1);
-    later.came(200, loan);
-    CHECK(later.loans().empty());
-    Rights again(terms, "b", 2000, 2);
+    QuotaLending later(terms, "a", 2000, 1);
+    later.receive(200, loan);
+    CHECK(later.take_loans().empty());
+    QuotaLending again(terms, "b", 2000, 2);
     const members::Word other = loan_to(later, again, 60000, 2);
-    later.came(60100, other);
-    CHECK(later.loans().size() == 1);
+    later.receive(60100, other);
+    CHECK(later.take_loans().size() == 1);
 }
 
 TEST_CASE("wants that bring nothing come ever more seldom; who lacks the same is not asked") {
-    Rights a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
+    QuotaLending a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
     int told = 0;
     for (Time now = 100; now < 400000; now += 500) {
-        a.lacked(now, part, 1);
-        for (const members::Word& want : a.to_tell(now)) {
+        a.report_shortage(now, part, 1);
+        for (const members::Word& want : a.take_outgoing(now)) {
             ++told;
-            b.lacked(now, part, 1);
-            b.came(now, want);
+            b.report_shortage(now, part, 1);
+            b.receive(now, want);
         }
-        CHECK(b.asked().empty());
+        CHECK(b.take_requests().empty());
     }
     CHECK(told >= 10);
     CHECK(told <= 16);  // at first after 250 ms, then doubled up to 4 s: 40 s hold 14
-    Rights tiny(terms, "t", 1000, 1);
-    tiny.lacked(100, {tenant, 1, 40, 0.0005, 20}, 1);
-    CHECK(tiny.to_tell(100).empty());
+    QuotaLending tiny(terms, "t", 1000, 1);
+    tiny.report_shortage(100, {tenant, 1, 40, 0.0005, 20}, 1);
+    CHECK(tiny.take_outgoing(100).empty());
 }
 
 TEST_CASE("whom the counter answers lends nothing, until it has been silent for a while") {
-    Rights a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
-    b.answered(100);
-    a.lacked(100, part, 1);
-    CHECK(b.came(100, a.to_tell(100).at(0)));
-    CHECK(b.asked().empty());
+    QuotaLending a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
+    b.counter_answered(100);
+    a.report_shortage(100, part, 1);
+    CHECK(b.receive(100, a.take_outgoing(100).at(0)));
+    CHECK(b.take_requests().empty());
     const Time later = 100 + terms.silent;
-    a.lacked(later, part, 1);
-    CHECK(b.came(later, a.to_tell(later).at(0)));
-    CHECK(b.asked().size() == 1);
+    a.report_shortage(later, part, 1);
+    CHECK(b.receive(later, a.take_outgoing(later).at(0)));
+    CHECK(b.take_requests().size() == 1);
 }
 
 TEST_CASE("words that are torn or nonsense are dropped") {
-    Rights a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
+    QuotaLending a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
     members::Word loan = loan_to(a, b, 100, 3);
     for (std::size_t n = 0; n < loan.bytes.size(); ++n) {
         members::Word torn = loan;
         torn.bytes.resize(n);
-        a.came(200, torn);
+        a.receive(200, torn);
     }
     members::Word other = loan;
     other.key += "1";
-    a.came(200, other);
+    a.receive(200, other);
     other = loan;
     other.life = 10 * terms.life;
-    a.came(200, other);
-    CHECK(a.loans().empty());
+    a.receive(200, other);
+    CHECK(a.take_loans().empty());
 }
 
 namespace {
@@ -124,7 +124,7 @@
 // arrives (and may come again), a word is lost, time passes, a starts again. What a is credited must be what
 // b lent it, once each.
 struct World {
-    Rights a{terms, "a", 1000, 1}, b{terms, "b", 1000, 2};
+    QuotaLending a{terms, "a", 1000, 1}, b{terms, "b", 1000, 2};
     std::vector<members::Word> flying;
     Time now = 100000;
     std::uint64_t started = 1000;
@@ -145,28 +145,28 @@
     const auto step = [&](const std::function<void(World&)>& what) {
         World then = world;
         what(then);
-        for (const members::Word& word : then.a.to_tell(then.now)) then.flying.push_back(word);
+        for (const members::Word& word : then.a.take_outgoing(then.now)) then.flying.push_back(word);
         // Each loan is of another amount, so that it is known again.
-        for (const Want& want : then.b.asked()) {
+        for (const LoanRequest& want : then.b.take_requests()) {
             then.lent.insert(then.next);
-            then.b.lent(then.now, want, then.next++, Moved::over_at(then.now));
+            then.b.record_loan(then.now, want, then.next++, LoanBalance::expiry_of(then.now));
         }
-        for (const members::Word& word : then.b.to_tell(then.now)) then.flying.push_back(word);
-        for (const Loan& loan : then.a.loans()) then.credited.insert(loan.units);
+        for (const members::Word& word : then.b.take_outgoing(then.now)) then.flying.push_back(word);
+        for (const Loan& loan : then.a.take_loans()) then.credited.insert(loan.units);
         explore(then, depth - 1, forgets, found);
     };
-    if (world.flying.size() < 3) step([](World& w) { w.a.lacked(w.now, part, 1); });
+    if (world.flying.size() < 3) step([](World& w) { w.a.report_shortage(w.now, part, 1); });
     for (std::size_t n = 0; n < world.flying.size(); ++n) {
         const auto arrives = [n, forgets](World& w) {
             const members::Word word = w.flying[n];
-            if (forgets) w.a = Rights(terms, "a", 1000, 1);  // the fault that must be found
-            w.a.came(w.now, word), w.b.came(w.now, word);
+            if (forgets) w.a = QuotaLending(terms, "a", 1000, 1);  // the fault that must be found
+            w.a.receive(w.now, word), w.b.receive(w.now, word);
         };
         step(arrives);
         step([&](World& w) { arrives(w), w.flying.erase(w.flying.begin() + static_cast<long>(n)); });
     }
     step([](World& w) { w.now += terms.life / 2; });
-    step([](World& w) { w.a = Rights(terms, "a", w.started += 1000, 1); });
+    step([](World& w) { w.a = QuotaLending(terms, "a", w.started += 1000, 1); });
 }
 
 }  // namespace
--- a/tests/model/counts.cpp
+++ b/tests/model/counts.cpp
@@ -1,9 +1,8 @@
 // The counts event: what is counted, how it is told, and that each stretch begins at nothing.
 #include <doctest/doctest.h>
 
-#include <cmath>
-
 #include <algorithm>
+#include <cmath>
 #include <nlohmann/json.hpp>
 #include <sstream>
 
@@ -22,29 +21,20 @@
     counts.served(0, 10000);
     counts.served(1, 501);
     counts.refused(), counts.failed(), counts.client_gone();
-    Decided decided{};
-    decided[static_cast<std::size_t>(Decision::local_over)] = 2;
-    decided[static_cast<std::size_t>(Decision::late)] = 4;
-    counts.decided(decided);
+    DecisionCounts decided{};
+    decided[static_cast<std::size_t>(Decision::over_quota_locally)] = 2;
+    decided[static_cast<std::size_t>(Decision::expired_in_queue)] = 4;
+    counts.report_decisions(decided);
     std::ostringstream out;
     Log log(out, -1, Level::info, 100, json_line);
     counts.tell(log, 17000000050000);
     const auto told = nlohmann::json::parse(out.str());
-    const std::pair<const char*, int> fields[] = {{"tries", 3},
-                                                  {"in_goal", 1},
-                                                  {"late", 1},
-                                                  {"bounced", 1},
-                                                  {"written_off", 1},
-                                                  {"gone", 1},
-                                                  {"sent_on", 1},
-                                                  {"executions", 2},
-                                                  {"calls", 2},
-                                                  {"units_asked", 4500},
-                                                  {"units_in", 1500},
-                                                  {"over_quota", 2},
-                                                  {"long_line", 4},
-                                                  {"units_counted", 1500},
-                                                  {"every_ms", 5000}};
+    const std::pair<const char*, int> fields[] = {
+        {"tries", 3},          {"in_goal", 1},          {"late", 1},
+        {"bounced", 1},        {"written_off", 1},      {"gone", 1},
+        {"sent_on", 1},        {"executions", 2},       {"calls", 2},
+        {"units_asked", 4500}, {"units_in", 1500},      {"over_quota", 2},
+        {"long_line", 4},      {"units_counted", 1500}, {"every_ms", 5000}};
     for (const auto& [name, figure] : fields) CHECK_MESSAGE(told[name] == figure, name);
     CHECK(told["event"] == "counts");
     CHECK(told["end_ms"] == 1700000005000);
--- a/tests/model/models.cpp
+++ b/tests/model/models.cpp
@@ -120,7 +120,7 @@
     const auto third = counter.call(0, "b", 1, 1000);
     CHECK(third.at == 30);
     CHECK(third.total == 1);
-    CHECK(counter.call(0, "b", 1, 1000).outcome == AttemptOutcome::full);
+    CHECK(counter.call(0, "b", 1, 1000).outcome == AttemptOutcome::overloaded);
     CHECK(counter.call(100, "b", 0, 1000).total == 1);    // what was turned away was not added
     CHECK(counter.call(999, "a", 0, 5000).total == 3.5);  // the life is the first call's
     CHECK(counter.call(1001, "a", 1, 1000).total == 1);
--- a/tests/quota/admission.cpp
+++ b/tests/quota/admission.cpp
@@ -32,7 +32,7 @@
 TEST_CASE("the first request asks, and the answer decides") {
     Admission admission(1, rules);
     const Decision asked = admission.request(start, tenant, quota, 4, true);
-    CHECK(asked.result == Admitted::asked);
+    CHECK(asked.result == Admitted::pending);
     REQUIRE(asked.statement);
     CHECK(asked.statement->tenant == tenant);
     CHECK(asked.statement->gateway == 1);
@@ -127,7 +127,7 @@
     const Decision asked = admission.request(start, tenant, quota, 1, true);
     admission.answered(start, tenant, asked.statement->sequence, {40, 0ms});
     const Decision lowered = admission.request(start, tenant, {1, 0}, 1, true);
-    CHECK(lowered.result == Admitted::asked);  // what others had was counted in other windows
+    CHECK(lowered.result == Admitted::pending);  // what others had was counted in other windows
     CHECK(admission.answered(start, tenant, lowered.statement->sequence, {40, 0ms}).result ==
           Admitted::refused);
 }
--- a/tests/quota/phases.cpp
+++ b/tests/quota/phases.cpp
@@ -17,7 +17,7 @@
     std::vector<Admission> admissions;
     admissions.reserve(gateways);
     for (int index = 0; index < gateways; ++index)
-        admissions.emplace_back(static_cast<GatewayLife>(index), rules);
+        admissions.emplace_back(static_cast<GatewayIncarnation>(index), rules);
     std::vector<TimePoint> admitted;
     const auto ask = [&](TimePoint now, Admission& admission) {
         const Decision asked = admission.request(now, 1, quota, gateways, true);
--- a/tests/quota/pieces.cpp
+++ b/tests/quota/pieces.cpp
@@ -13,7 +13,7 @@
 const TimePoint start{1h};
 constexpr QuotaBound rules{5s, 0.1, 20};
 
-Statement statement_of(GatewayLife gateway, std::uint64_t sequence, double current) {
+Statement statement_of(GatewayIncarnation gateway, std::uint64_t sequence, double current) {
     Statement statement;
     statement.tenant = 1;
     statement.gateway = gateway;
--- a/tests/quota/schedule.cpp
+++ b/tests/quota/schedule.cpp
@@ -58,9 +58,9 @@
 
 // One gateway with what its quota client keeps of the holder.
 struct Gateway {
-    explicit Gateway(GatewayLife own_life) : life(own_life), admission(own_life, rules) {}
+    explicit Gateway(GatewayIncarnation own_life) : life(own_life), admission(own_life, rules) {}
 
-    GatewayLife life;
+    GatewayIncarnation life;
     Admission admission;
     Breaker breaker;
     microseconds round_trip{0};
@@ -149,7 +149,7 @@
         const int sharing = sabotage_ == Sabotage::whole_bucket ? 1 : plan_.gateways;
         const Decision decision =
             here.admission.request(agenda_.now(), tenant, plan_.tenants[tenant].quota, sharing, reachable);
-        const bool waits = decision.result == Admitted::asked;
+        const bool waits = decision.result == Admitted::pending;
         if (!waits) conclude(tenant, decision);
         if (!decision.statement) return;
         if (decision.wants_answer) call(index, *decision.statement, waits);
@@ -215,7 +215,7 @@
     CountHolder holder_;
     std::vector<Gateway> gateways_;
     std::vector<std::discrete_distribution<>> weights_;
-    GatewayLife lives_ = 0;
+    GatewayIncarnation lives_ = 0;
     ScheduleResult result_;
 };
 
--- a/tests/run.cpp
+++ b/tests/run.cpp
@@ -71,9 +71,9 @@
             if (amount == 0) stage.counts.try_emplace(name, earlier);
             if (counter != "full") stage.counts[name] += amount;
             const AttemptOutcome said = counter == "answers" ? AttemptOutcome::ok
-                                        : counter == "full"  ? AttemptOutcome::full
+                                        : counter == "full"  ? AttemptOutcome::overloaded
                                                              : AttemptOutcome::broken;
-            decisions->counted(stage.now, name, said, stage.counts[name], 20);
+            decisions->counter_replied(stage.now, name, said, stage.counts[name], 20);
         }
     }
 
@@ -83,7 +83,7 @@
             const auto [at, token] = *stage.timers.begin();
             stage.timers.erase(stage.timers.begin());
             stage.now = std::max(stage.now, at);
-            decisions->timer(stage.now, token);
+            decisions->timer_expired(stage.now, token);
             answer_counts();
         }
         stage.now = until;
@@ -151,7 +151,7 @@
             while (line >> id >> word)
                 decisions->host_listed(stage.now, id,
                                        word == "draining" ? HostState::draining
-                                       : word == "gone"   ? HostState::gone
+                                       : word == "gone"   ? HostState::removed
                                                           : HostState::ready,
                                        word == "young" ? stage.now : 0, id % 10, id);
             return decisions->list_ends(stage.now);
@@ -168,12 +168,13 @@
             line >> id;
             const Time ahead = value(line, "ahead", 0) > 0 ? 1000000000 : 0;
             const bool young = ahead > 0 || value(line, "young", 0) > 0;
-            return decisions->others_found(stage.now, id,
-                                           {.doubt = value(line, "doubt", 0),
-                                            .found = value(line, "found", 0) > 0 ? stage.now : 0,
-                                            .until = stage.now + std::llround(value(line, "for", 5000) * 10),
-                                            .draining = value(line, "draining", 0) > 0,
-                                            .up_since = young ? stage.now + ahead : 0});
+            return decisions->host_reported(
+                stage.now, id,
+                {.suspicion = value(line, "doubt", 0),
+                 .last_failure = value(line, "found", 0) > 0 ? stage.now : 0,
+                 .expires_at = stage.now + std::llround(value(line, "for", 5000) * 10),
+                 .draining = value(line, "draining", 0) > 0,
+                 .up_since = young ? stage.now + ahead : 0});
         }
         if (word == "fleet") {  // so many hosts that no line forms
             decisions->list_begins(stage.now, true);
@@ -279,7 +280,7 @@
                 answer_counts();
             }
         } else if (word == "gone") {
-            decisions->client_gone(stage.now, id);
+            decisions->client_disconnected(stage.now, id);
         } else if (word == "stream") {
             decisions->stream_started(stage.now, id, 0);
         } else {
--- a/tests/scenario_stage.h
+++ b/tests/scenario_stage.h
@@ -28,20 +28,20 @@
     void refuse(std::uint32_t id, Time advice) override { saw("bounce", id), last_advice = advice; }
     void fail(std::uint32_t id) override { saw("write_off", id); }
     void cancel(std::uint32_t id, int) override { saw("cancel", id); }
-    void count(std::uint64_t name, double amount, Time) override {
+    void add_to_counter(std::uint64_t name, double amount, Time) override {
         asked.emplace_back(name, amount);
         std::ostringstream text;
         text << "count " << amount;
         seen.push_back(text.str());
     }
-    void arm(Time from_now, std::uint64_t token) override { timers.emplace(now + from_now, token); }
-    void disarm(std::uint64_t token) override {
+    void start_timer(Time from_now, std::uint64_t token) override { timers.emplace(now + from_now, token); }
+    void cancel_timer(std::uint64_t token) override {
         std::erase_if(timers, [&](const auto& timer) { return timer.second == token; });
     }
-    void follow_list() override { seen.push_back("follow"); }
+    void watch_host_list() override { seen.push_back("follow"); }
     void log(LogEvent, std::uint32_t, const std::string&) override {}
-    void decided(const Decided&) override {}
-    double others_total(std::uint64_t name) const override {
+    void report_decisions(const DecisionCounts&) override {}
+    double corroborated_total(std::uint64_t name) const override {
         const auto known = others.find(name);
         return known == others.end() ? 0 : known->second;
     }
