--- a/src/policy/decisions.cpp
+++ b/src/policy/decisions.cpp
@@ -1,8 +1,4 @@
-// All decisions of the gateway: quotas, the line, which host, health, further attempts, the five rules.
-// Here is what can happen, each told to the part that decides on it; the parts are the headers beside this
-// file. Callers own one Decisions a gateway, tell it what happens in the order it happens, and do what it
-// calls on the Gateway handed to it; the interface is in include/dewweir/decisions.h, the reasons are in
-// docs/design.md.
+// Hands each event to the part that decides on it: the headers beside this file. Reasons: docs/design.md.
 #include "dewweir/decisions.h"
 
 #include "policy/quota.h"
@@ -11,52 +7,55 @@
 
 struct Decisions::State : policy::Quota {
     using Quota::Quota;
-    State& at(Time moment) { return now = moment, *this; }
+    State& at(Time moment) {
+        now = moment;
+        return *this;
+    }
 };
 
 Decisions::Decisions(Gateway& gateway, const Settings& settings, std::uint64_t seed, Time now)
     : state_(std::make_unique<State>(gateway, settings, seed, now)) {}
 Decisions::~Decisions() = default;
 
-void Decisions::list_begins(Time now, bool whole) {
-    state_->at(now).list_whole = whole;
-    ++state_->list_round;
+void Decisions::list_begins(Time now, bool complete) {
+    state_->at(now).list_complete = complete;
+    ++state_->list_update;
 }
 
 void Decisions::host_listed(Time, std::uint32_t id, HostState state, Time up_since, int zone, int cell) {
-    state_->listed(id, state, up_since, zone, cell);
+    state_->host_listed(id, state, up_since, zone, cell);
 }
 
 void Decisions::list_ends(Time now) {
     State& s = state_->at(now);
-    for (auto& [id, h] : s.hosts) h.listed &= !s.list_whole || h.list_round == s.list_round;
+    for (auto& [id, h] : s.hosts) h.listed &= !s.list_complete || h.list_update == s.list_update;
     s.list_failures = 0;
-    s.place();
+    s.dispatch_queue();
 }
 
 void Decisions::list_failed(Time now) {
-    state_->at(now).follow_later();
+    state_->at(now).schedule_watch();
     ++state_->list_failures;
 }
 
-void Decisions::host_reported(Time now, std::uint32_t id, const HostReport& said) {
+void Decisions::host_reported(Time now, std::uint32_t id, const HostReport& report) {
     State& s = state_->at(now);
-    if (const auto known = s.hosts.find(id); known != s.hosts.end()) s.host_reported(known->second, said);
-    s.place();
+    if (const auto known = s.hosts.find(id); known != s.hosts.end()) s.host_reported(known->second, report);
+    s.dispatch_queue();
 }
 
-double Decisions::lend_tokens(Time now, const QuotaShare& of, double units) {
-    return state_->at(now).lend_tokens(of, units);
+double Decisions::lend_tokens(Time now, const QuotaShare& share, double units) {
+    return state_->at(now).lend_tokens(share, units);
 }
 
-void Decisions::receive_loan(Time now, std::uint64_t tenant, double units, Time until) {
+void Decisions::receive_loan(Time now, std::uint64_t tenant, double units, Time expires_at) {
     auto& all = state_->at(now).tenants;
-    if (const auto at = all.find(tenant); at != all.end()) at->second.moved.borrow(now, units, until);
+    if (const auto at = all.find(tenant); at != all.end()) at->second.loans.borrow(now, units, expires_at);
 }
 
 void Decisions::request_received(Time now, std::uint32_t id, int route_class, int plan, std::uint64_t tenant,
-                                 double units, int tenant_gateways, Time patience_left) {
-    state_->at(now).request_received(id, route_class, plan, tenant, units, tenant_gateways, patience_left);
+                                 double units, int tenant_gateways, Time time_left) {
+    state_->at(now).request_received(id, route_class, plan, tenant, units, tenant_gateways, time_left);
 }
 
 void Decisions::attempt_ended(Time now, std::uint32_t id, int, std::uint32_t host, AttemptOutcome outcome,
@@ -67,25 +66,25 @@
 }
 
 void Decisions::stream_started(Time now, std::uint32_t id, int) {
-    if (policy::Request* const s = state_->at(now).open_one(id)) s->stream = true;
+    if (policy::Request* const r = state_->at(now).find_open(id)) r->streaming = true;
 }
 
 void Decisions::client_disconnected(Time now, std::uint32_t id) { state_->at(now).end_early(id, true); }
 
 void Decisions::counter_replied(Time now, std::uint64_t name, AttemptOutcome outcome, double total,
                                 Time took) {
-    state_->at(now).counted(name, outcome, total, took);
+    state_->at(now).counter_replied(name, outcome, total, took);
 }
 
 void Decisions::timer_expired(Time now, std::uint64_t token) {
     State& s = state_->at(now);
     const auto id = static_cast<std::uint32_t>(token >> 3);
     switch (token & 7) {
-        case policy::beat: return s.on_beat();
-        case policy::limit: return s.end_early(id, false);
-        case policy::follow: return s.gateway.watch_host_list();
-        case policy::place_free: return s.free_place(s.hosts.at(id)), s.place();
-        case policy::count_late: return s.on_count_late(id);
+        case policy::tick_timer: return s.on_tick();
+        case policy::deadline_timer: return s.end_early(id, false);
+        case policy::watch_timer: return s.gateway.watch_host_list();
+        case policy::slot_timer: s.release_slot(s.hosts.at(id)); return s.dispatch_queue();
+        case policy::counter_timer: return s.on_counter_late(id);
     }
 }
 
