--- a/src/limits/bounds.h
+++ b/src/limits/bounds.h
@@ -1,19 +1,24 @@
-// How far over a quota all gateways together can be, derived from the plan and the fleet's size: what
-// `dewweir explain-bounds` prints for a fleet file, and what tests hold measured figures against. Pure.
+// How far all gateways together can exceed a quota, derived from the plan and the number of gateways:
+// `dewweir explain-bounds` prints it for a fleet file, and tests hold measured figures against it. Pure.
 #pragma once
 
 namespace dewweir::limits {
 
 struct QuotaBounds {
-    double share = 0;  // units that one gateway's part holds at the most
-    double an_event =
-        0;  // units beyond, of the counter's going, its return, or its return with nothing: each once
-    double restart_excess = 0;  // units beyond, of a gateway started again while the counter is away: each
-    double event_excess_of_minute = 0;  // `an_event` as a part of what the quota allows in a minute
-    bool lendable = false;              // whether parts of it can move: they hold a unit and more
+    // Units that one gateway's share holds at most.
+    double share = 0;
+    // Units beyond the quota, once for each of these events: the counter becomes unreachable, is reached
+    // again, or comes back without its data.
+    double event_excess = 0;
+    // Units beyond the quota for each restart of a gateway while the counter is unreachable.
+    double restart_excess = 0;
+    // `event_excess` as a fraction of what the quota allows in a minute.
+    double event_excess_of_minute = 0;
+    // Whether gateways lend each other units of their shares: shares hold a unit at least.
+    bool lendable = false;
 };
 
-// `rate` in units a second and `burst` in units, both over 0; `gateways` from 1: a tenant's.
+// `rate` in units per second and `burst` in units, both over 0; `gateways`, 1 at least, share the quota.
 QuotaBounds quota_bounds(double rate, double burst, int gateways);
 
 }  // namespace dewweir::limits
--- a/src/limits/moved.h
+++ b/src/limits/moved.h
@@ -1,7 +1,7 @@
-// What has moved of one tenant's part of its quota: lent to others, and held from them. Room moves with the
-// units: who has lent cannot refill what is out, so that all parts together with what is held never pass the
-// quota. It goes by slots of time that all cut alike: what is lent in one is over at the end of the next, at
-// both ends. Pure, and a value.
+// What one gateway has lent of its share of a tenant's quota, and what it has borrowed from other gateways.
+// A lender cannot refill units while they are lent, so that all shares together with what is borrowed never
+// exceed the quota. Time is cut into slots, the same for all gateways: units lent in a slot expire at the end
+// of the next one, at the lender and at the borrower. Pure, and a value.
 #pragma once
 
 #include <array>
@@ -13,28 +13,39 @@
 
 class LoanBalance {
   public:
-    static constexpr Time slot = 20000;  // 2 s: what is lent lives for one to two of them
+    // 2 s; a loan lasts for one to two slots.
+    static constexpr Time slot = 20000;
 
-    // When what is lent now is over.
+    // When a loan made now expires.
     static Time expiry_of(Time now) { return (now / slot + 2) * slot; }
 
-    // Units that have left our part and may still be used elsewhere: our part has that much less room.
-    double lent(Time now) { return advance(now), lent_[0] + lent_[1]; }
-    void lend(Time now, double units) { advance(now), lent_[0] += units; }
-
-    // Units held from others, besides our own part.
-    double borrowed(Time now) { return advance(now), borrowed_[0] + borrowed_[1]; }
-    // Units that are over at `until`; those that are over, or last longer than any lent here could, are not
-    // taken.
-    void borrow(Time now, double units, Time until);
-    // Uses what is held, that which is over first; what it could not hold is handed back.
+    // Units lent that have not expired: the share's capacity is lower by as many.
+    double lent(Time now) {
+        advance(now);
+        return lent_[0] + lent_[1];
+    }
+    void lend(Time now, double units) {
+        advance(now);
+        lent_[0] += units;
+    }
+
+    // Units borrowed and not spent yet, besides the gateway's own share.
+    double borrowed(Time now) {
+        advance(now);
+        return borrowed_[0] + borrowed_[1];
+    }
+    // Ignores units that have expired, or whose expiry no loan of now could have.
+    void borrow(Time now, double units, Time expires_at);
+    // Spends borrowed units, the first to expire first. Returns how many of `units` they did not cover.
     double spend(Time now, double units);
 
   private:
     void advance(Time now);
 
-    std::int64_t at_ = 0;
-    std::array<double, 2> lent_{}, borrowed_{};  // of this slot and of the one before
+    // Number of the current slot.
+    std::int64_t slot_number_ = 0;
+    // By the slot in which the loan was made: the current one, the one before.
+    std::array<double, 2> lent_{}, borrowed_{};
 };
 
 }  // namespace dewweir::limits
--- a/src/limits/rights.cpp
+++ b/src/limits/rights.cpp
@@ -14,173 +14,186 @@
 using members::Word;
 using nlohmann::json;
 
-const std::string about = "right/", about_want = about + "want/", about_loan = about + "loan/";
-constexpr double most_units = 1e9;  // of a word; more is nonsense
+const std::string prefix = "right/", request_prefix = prefix + "want/", loan_prefix = prefix + "loan/";
+// Of a message; more is taken for nonsense.
+constexpr double max_units = 1e9;
 
-std::string key_of_want(const std::string& by, std::uint64_t tenant) {
-    return about_want + by + "/" + std::to_string(tenant);
+std::string request_key(const std::string& by, std::uint64_t tenant) {
+    return request_prefix + by + "/" + std::to_string(tenant);
 }
-std::string key_of_loan(const std::string& by, std::uint64_t rank) {
-    return about_loan + by + "/" + std::to_string(rank);
+std::string loan_key(const std::string& by, std::uint64_t sequence) {
+    return loan_prefix + by + "/" + std::to_string(sequence);
 }
 
 bool take_amount(const json& from, const char* name, double& into) {
-    return take(from, name, into) && into >= 0 && into < most_units;
+    return take(from, name, into) && into >= 0 && into < max_units;
 }
 
-bool read(const Word& word, LoanRequest& into) {
-    const json told = members::carried_by(word);
+bool read(const Word& item, LoanRequest& into) {
+    const json fields = members::carried_by(item);
     std::uint64_t plan = 0, gateways = 0;
-    if (!told.is_object() || !take(told, "o", into.by) || !take(told, "c", into.share.tenant) ||
-        !take(told, "p", plan) || !take(told, "g", gateways) || !take_amount(told, "r", into.share.rate) ||
-        !take_amount(told, "b", into.share.burst) || !take_amount(told, "u", into.units))
+    if (!fields.is_object() || !take(fields, "o", into.by) || !take(fields, "c", into.share.tenant) ||
+        !take(fields, "p", plan) || !take(fields, "g", gateways) ||
+        !take_amount(fields, "r", into.share.rate) || !take_amount(fields, "b", into.share.burst) ||
+        !take_amount(fields, "u", into.units))
         return false;
     into.share.plan = static_cast<int>(std::min<std::uint64_t>(plan, 1 << 20));
     into.share.gateways = static_cast<int>(std::clamp<std::uint64_t>(gateways, 1, 1 << 20));
-    into.rank = word.rank;
-    return into.units > 0 && word.key == key_of_want(into.by, into.share.tenant);
+    into.sequence = item.rank;
+    return into.units > 0 && item.key == request_key(into.by, into.share.tenant);
 }
 
-struct LoanWord {
+struct LoanItem {
     Loan loan;
     std::string by, to;
-    std::uint64_t want = 0;  // its rank
+    // Sequence number of the request that it answers.
+    std::uint64_t request = 0;
 };
-bool read(const Word& word, LoanWord& into) {
-    const json told = members::carried_by(word);
-    std::uint64_t until = 0;
-    if (!told.is_object() || !take(told, "o", into.by) || !take(told, "t", into.to) ||
-        !take(told, "w", into.want) || !take(told, "c", into.loan.tenant) ||
-        !take_amount(told, "u", into.loan.units) || !take(told, "e", until))
+bool read(const Word& item, LoanItem& into) {
+    const json fields = members::carried_by(item);
+    std::uint64_t expires_at = 0;
+    if (!fields.is_object() || !take(fields, "o", into.by) || !take(fields, "t", into.to) ||
+        !take(fields, "w", into.request) || !take(fields, "c", into.loan.tenant) ||
+        !take_amount(fields, "u", into.loan.units) || !take(fields, "e", expires_at))
         return false;
-    into.loan.expires_at = static_cast<Time>(until);
-    return into.loan.units > 0 && word.key == key_of_loan(into.by, word.rank);
+    into.loan.expires_at = static_cast<Time>(expires_at);
+    return into.loan.units > 0 && item.key == loan_key(into.by, item.rank);
 }
 
 }  // namespace
 
-QuotaLending::QuotaLending(const QuotaLendingOptions& terms, std::string self, std::uint64_t rank,
+QuotaLending::QuotaLending(const QuotaLendingOptions& options, std::string self, std::uint64_t sequence,
                            std::uint64_t seed)
-    : terms_(terms), self_(std::move(self)), rank_(rank), first_rank_(rank), chance_(seed) {}
-
-bool QuotaLending::is_lending_item(const Word& word) { return word.key.rfind(about, 0) == 0; }
-
-void QuotaLending::report_shortage(Time now, const QuotaShare& of, double units) {
-    // Parts under a unit do not move.
-    if (of.burst < of.gateways || units <= 0) return;
-    if (!lacks_.contains(of.tenant) && lacks_.size() >= terms_.most) return;
-    Shortage& lack = lacks_[of.tenant];
-    lack.share = of;
-    lack.units += units;
-    lack.last = now;
+    : options_(options), self_(std::move(self)), sequence_(sequence), first_sequence_(sequence), rng_(seed) {}
+
+bool QuotaLending::is_lending_item(const Word& item) { return item.key.rfind(prefix, 0) == 0; }
+
+void QuotaLending::report_shortage(Time now, const QuotaShare& share, double units) {
+    // Shares under a unit are not lent.
+    if (share.burst < share.gateways || units <= 0) return;
+    if (!shortages_.contains(share.tenant) && shortages_.size() >= options_.max_tenants) return;
+    Shortage& shortage = shortages_[share.tenant];
+    shortage.share = share;
+    shortage.units += units;
+    shortage.last_shortage_at = now;
 }
 
-bool QuotaLending::receive(Time now, const Word& word) {
-    if (word.past(now) || word.life > terms_.life) return false;
-    return word.key.rfind(about_want, 0) == 0 ? receive_request(now, word) : receive_loan(now, word);
+bool QuotaLending::receive(Time now, const Word& item) {
+    if (item.past(now) || item.life > options_.item_lifetime) return false;
+    return item.key.rfind(request_prefix, 0) == 0 ? receive_request(now, item) : receive_loan(now, item);
 }
 
-bool QuotaLending::receive_request(Time now, const Word& word) {
-    LoanRequest want;
-    if (!read(word, want) || want.by == self_) return false;
-    Word& held = words_[word.key];
-    if (word.rank <= held.rank) return false;
-    held = word;
-    // So many of all are to lend; who lacks the same has nothing to spare.
-    const double others = std::max(1, want.share.gateways - 1), lenders = std::min(others, terms_.lenders);
-    if (now >= counted_until_ && !lacks_.contains(want.share.tenant) &&
-        std::uniform_real_distribution<>()(chance_) * others < lenders) {
-        want.units *= terms_.ample / lenders;
-        asked_.push_back(std::move(want));
+bool QuotaLending::receive_request(Time now, const Word& item) {
+    LoanRequest request;
+    if (!read(item, request) || request.by == self_) return false;
+    Word& held = items_[item.key];
+    if (item.rank <= held.rank) return false;
+    held = item;
+    // Each gateway lends with the same probability, so that as many answer as intended. A gateway that is
+    // short of the same tenant's units has none to spare.
+    const double others = std::max(1, request.share.gateways - 1);
+    const double lenders = std::min(others, options_.expected_lenders);
+    if (now >= lend_nothing_until_ && !shortages_.contains(request.share.tenant) &&
+        std::uniform_real_distribution<>()(rng_) * others < lenders) {
+        request.units *= options_.overlending / lenders;
+        requests_.push_back(std::move(request));
     }
     return true;
 }
 
-bool QuotaLending::receive_loan(Time now, const Word& word) {
-    LoanWord is;
-    if (!read(word, is) || is.by == self_) return false;
-    if (is.to != self_) return words_.emplace(word.key, word).second;
-    // One that an earlier process of ours asked for was its own, and one taken before is not taken again.
-    if (is.want <= first_rank_ || word.rank <= taken_to_[is.by] ||
-        !taken_[is.by].emplace(word.rank, now).second) {
+bool QuotaLending::receive_loan(Time now, const Word& item) {
+    LoanItem loan_item;
+    if (!read(item, loan_item) || loan_item.by == self_) return false;
+    if (loan_item.to != self_) return items_.emplace(item.key, item).second;
+    // A loan that an earlier process of this name requested was that process's own; each loan is taken once.
+    if (loan_item.request <= first_sequence_ || item.rank <= taken_up_to_[loan_item.by] ||
+        !taken_[loan_item.by].emplace(item.rank, now).second) {
         ++counters_.refused;
         return false;
     }
-    if (const auto lack = lacks_.find(is.loan.tenant); lack != lacks_.end()) lack->second.wait = terms_.first;
-    ++counters_.loans_in, counters_.units_in += is.loan.units;
-    loans_.push_back(is.loan);
-    return false;  // it has come where it was to come
+    if (const auto shortage = shortages_.find(loan_item.loan.tenant); shortage != shortages_.end())
+        shortage->second.interval = options_.first_interval;
+    ++counters_.loans_in;
+    counters_.units_in += loan_item.loan.units;
+    loans_.push_back(loan_item.loan);
+    return false;  // it has reached its borrower
 }
 
-std::vector<LoanRequest> QuotaLending::take_requests() { return std::exchange(asked_, {}); }
+std::vector<LoanRequest> QuotaLending::take_requests() { return std::exchange(requests_, {}); }
 
-void QuotaLending::record_loan(Time now, const LoanRequest& want, double units, Time until) {
-    const std::uint64_t rank = ++rank_;
+void QuotaLending::record_loan(Time now, const LoanRequest& request, double units, Time expires_at) {
+    const std::uint64_t sequence = ++sequence_;
     std::string bytes;
     json::to_cbor({{"o", self_},
-                   {"t", want.by},
-                   {"w", want.rank},
-                   {"c", want.share.tenant},
+                   {"t", request.by},
+                   {"w", request.sequence},
+                   {"c", request.share.tenant},
                    {"u", units},
-                   {"e", static_cast<std::uint64_t>(until)}},
+                   {"e", static_cast<std::uint64_t>(expires_at)}},
                   bytes);
-    const Word word{key_of_loan(self_, rank), rank, now, terms_.life, bytes};
-    words_[word.key] = word;
-    telling_.push_back(word);
-    ++counters_.loans_out, counters_.units_out += units;
+    const Word item{loan_key(self_, sequence), sequence, now, options_.item_lifetime, bytes};
+    items_[item.key] = item;
+    outgoing_.push_back(item);
+    ++counters_.loans_out;
+    counters_.units_out += units;
 }
 
 std::vector<Loan> QuotaLending::take_loans() { return std::exchange(loans_, {}); }
 
-void QuotaLending::forget(Time now) {
-    std::erase_if(words_, [now](const auto& each) { return each.second.past(now); });
-    // Nothing was lacking for so long: what comes next is another need.
-    std::erase_if(lacks_, [&](const auto& each) { return now > each.second.last + terms_.longest; });
-    for (auto& [lender, ranks] : taken_)
-        while (!ranks.empty() && now > ranks.begin()->second + terms_.life) {
-            taken_to_[lender] = std::max(taken_to_[lender], ranks.begin()->first);
-            ranks.erase(ranks.begin());
+void QuotaLending::expire(Time now) {
+    std::erase_if(items_, [now](const auto& each) { return each.second.past(now); });
+    // After so long without a shortage the next one is unrelated, and starts with the first interval.
+    std::erase_if(shortages_, [&](const auto& each) {
+        return now > each.second.last_shortage_at + options_.longest_interval;
+    });
+    for (auto& [lender, sequences] : taken_)
+        while (!sequences.empty() && now > sequences.begin()->second + options_.item_lifetime) {
+            taken_up_to_[lender] = std::max(taken_up_to_[lender], sequences.begin()->first);
+            sequences.erase(sequences.begin());
         }
 }
 
 std::vector<Word> QuotaLending::take_outgoing(Time now) {
-    forget(now);
-    for (auto& [tenant, lack] : lacks_) {
-        if (lack.units <= 0 || now < lack.told + lack.wait) continue;
-        const std::uint64_t rank = ++rank_;
+    expire(now);
+    for (auto& [tenant, shortage] : shortages_) {
+        if (shortage.units <= 0 || now < shortage.requested_at + shortage.interval) continue;
+        const std::uint64_t sequence = ++sequence_;
         std::string bytes;
         json::to_cbor({{"o", self_},
                        {"c", tenant},
-                       {"p", static_cast<std::uint64_t>(lack.share.plan)},
-                       {"g", static_cast<std::uint64_t>(lack.share.gateways)},
-                       {"r", lack.share.rate},
-                       {"b", lack.share.burst},
-                       {"u", lack.units}},
+                       {"p", static_cast<std::uint64_t>(shortage.share.plan)},
+                       {"g", static_cast<std::uint64_t>(shortage.share.gateways)},
+                       {"r", shortage.share.rate},
+                       {"b", shortage.share.burst},
+                       {"u", shortage.units}},
                       bytes);
-        const Word word{key_of_want(self_, tenant), rank, now, terms_.life, bytes};
-        telling_.push_back(word);
-        words_[word.key] = word;
-        // A loan sets it back: who brought nothing so far is asked ever more seldom.
-        lack.wait = lack.wait ? std::min(2 * lack.wait, terms_.longest) : terms_.first;
-        lack.told = now, lack.units = 0;
+        const Word item{request_key(self_, tenant), sequence, now, options_.item_lifetime, bytes};
+        outgoing_.push_back(item);
+        items_[item.key] = item;
+        // Backs off while requests bring nothing; a loan resets the interval.
+        shortage.interval = shortage.interval ? std::min(2 * shortage.interval, options_.longest_interval)
+                                              : options_.first_interval;
+        shortage.requested_at = now;
+        shortage.units = 0;
         ++counters_.requests;
     }
-    return std::exchange(telling_, {});
+    return std::exchange(outgoing_, {});
 }
 
 std::vector<Word> QuotaLending::live_items(Time now) const {
-    std::vector<Word> all;
-    for (const auto& [key, word] : words_)
-        if (!word.past(now)) all.push_back(word);
-    return all;
+    std::vector<Word> live;
+    for (const auto& [key, item] : items_)
+        if (!item.past(now)) live.push_back(item);
+    return live;
 }
 
 Time QuotaLending::next_timer(Time now) const {
     Time next = std::numeric_limits<Time>::max();
-    for (const auto& [tenant, lack] : lacks_)
-        next = std::min(
-            next, lack.units > 0 ? std::max(now + 1, lack.told + lack.wait) : lack.last + terms_.longest + 1);
-    if (!words_.empty()) next = std::min(next, now + terms_.life);
+    for (const auto& [tenant, shortage] : shortages_)
+        next =
+            std::min(next, shortage.units > 0 ? std::max(now + 1, shortage.requested_at + shortage.interval)
+                                              : shortage.last_shortage_at + options_.longest_interval + 1);
+    if (!items_.empty()) next = std::min(next, now + options_.item_lifetime);
     return next;
 }
 
--- a/src/limits/rights.h
+++ b/src/limits/rights.h
@@ -1,8 +1,9 @@
-// Parts of quotas that move between gateways while the counter cannot be asked. Whose part of a tenant's
-// quota does not hold a request says what it lacks (a want); others that can spare some lend it (a loan).
-// A loan has left the lender's part before its word is told, and comes on at the taker once at the most:
-// lost, doubled, late or overtaken, it can make all parts together less, and never more (escrow, O'Neil 1986;
-// bounded counters, Balegas and others 2015). Pure: moments, words and what can be spared are handed in.
+// Gateways lend each other units of their shares of a quota while the counter cannot be asked. A gateway
+// whose share does not hold a request gossips a loan request; gateways that can spare units answer with a
+// loan. Lent units leave the lender's share before the loan is sent, and the borrower takes each loan at most
+// once: a message that is lost, duplicated, delayed or reordered can lower the sum of all shares, but never
+// raise it (escrow, O'Neil 1986; bounded counters, Balegas et al. 2015). Pure: times, messages and the units
+// that can be spared are handed in.
 #pragma once
 
 #include <cstdint>
@@ -15,50 +16,69 @@
 
 namespace dewweir::limits {
 
+// A gateway asks the others for units.
 struct LoanRequest {
     QuotaShare share;
     double units = 0;
     std::string by{};
-    std::uint64_t rank = 0;  // of two of one gateway the higher is the later, also after a restart
+    // Sequence number of the gateway's messages; grows across its restarts.
+    std::uint64_t sequence = 0;
 };
+
+// Units that another gateway has lent to this one.
 struct Loan {
     std::uint64_t tenant = 0;
     double units = 0;
-    Time expires_at = 0;  // by all clocks: they are held to agree, as for the counter's windows
+    // By the clocks of all gateways, which are kept in sync as for the counter's windows.
+    Time expires_at = 0;
 };
 
 struct QuotaLendingOptions {
-    Time life = 20000;       // of a word: 2 s
-    Time first = 2500;       // between two wants of one tenant, doubled with each that brought nothing ...
-    Time longest = 40000;    // ... up to this
-    double lenders = 3;      // that are asked for, of all: each lends or not by chance
-    double ample = 4;        // times what is lacking, of all lenders together: a part of it comes too late
-    Time silent = 10000;     // who has been answered by the counter since then lends nothing: 1 s
-    std::size_t most = 256;  // tenants that wants are kept of; more are not told
+    // Lifetime of a gossip item: 2 s.
+    Time item_lifetime = 20000;
+    // Between two loan requests for one tenant: 250 ms at first, doubled after each that brought nothing, up
+    // to 4 s.
+    Time first_interval = 2500;
+    Time longest_interval = 40000;
+    // How many gateways answer a loan request on average; each decides at random.
+    double expected_lenders = 3;
+    // All lenders together offer this many times the missing units, as a part of the loans comes too late.
+    double overlending = 4;
+    // A gateway that the counter has answered within this time (1 s) lends nothing.
+    Time counter_silence = 10000;
+    // Tenants with a shortage that are tracked; further ones request no loans.
+    std::size_t max_tenants = 256;
 };
 
 class QuotaLending {
   public:
-    // `rank`: over that of every word of an earlier process of this name.
-    QuotaLending(const QuotaLendingOptions& terms, std::string self, std::uint64_t rank, std::uint64_t seed);
+    // `self`: this gateway's name. `sequence`: over the sequence numbers of all earlier processes of the
+    // name.
+    QuotaLending(const QuotaLendingOptions& options, std::string self, std::uint64_t sequence,
+                 std::uint64_t seed);
 
-    // Our part did not hold so many units of a request, and the counter was not asked.
-    void report_shortage(Time now, const QuotaShare& of, double units);
-    // The counter has answered us: what is let in here is counted, so that our part is not ours to lend.
-    void counter_answered(Time now) { counted_until_ = now + terms_.silent; }
-    // Whether it is new here, and so to be passed on.
-    bool receive(Time now, const members::Word& word);
-    // Others' wants that are for us to lend to, each once.
+    // This gateway's share did not hold so many units of a request, and the counter was not asked.
+    void report_shortage(Time now, const QuotaShare& share, double units);
+    // The counter has answered: requests here are counted, so that the share must not be lent.
+    void counter_answered(Time now) { lend_nothing_until_ = now + options_.counter_silence; }
+    // Takes a gossip item of this package. Returns whether it is new here and is to be passed on.
+    bool receive(Time now, const members::Word& item);
+    // Loan requests of others that this gateway is to answer, each returned once.
     std::vector<LoanRequest> take_requests();
-    // So many units have left our part, for that want.
-    void record_loan(Time now, const LoanRequest& want, double units, Time until);
-    // Loans to us, each once.
+    // So many units have left this gateway's share for that request.
+    void record_loan(Time now, const LoanRequest& request, double units, Time expires_at);
+    // Loans to this gateway, each returned once.
     std::vector<Loan> take_loans();
+    // New gossip items of this gateway, each returned once.
     std::vector<members::Word> take_outgoing(Time now);
+    // All gossip items that have not expired, for a member that asks for everything.
     std::vector<members::Word> live_items(Time now) const;
+    // When `take_outgoing` must be called again at the latest.
     Time next_timer(Time now) const;
-    static bool is_lending_item(const members::Word& word);
+    // Whether a gossip item belongs to this package.
+    static bool is_lending_item(const members::Word& item);
 
+    // Since the start of the process.
     struct Counters {
         std::uint64_t requests = 0, loans_out = 0, loans_in = 0, refused = 0;
         double units_out = 0, units_in = 0;
@@ -68,25 +88,33 @@
   private:
     struct Shortage {
         QuotaShare share;
+        // Missing since the last request.
         double units = 0;
-        Time told = 0, wait = 0;  // 0: none yet
-        Time last = 0;
+        Time requested_at = 0;
+        // Until the next request; 0: none has been sent.
+        Time interval = 0;
+        Time last_shortage_at = 0;
     };
-    void forget(Time now);
-    bool receive_request(Time now, const members::Word& word);
-    bool receive_loan(Time now, const members::Word& word);
+    void expire(Time now);
+    bool receive_request(Time now, const members::Word& item);
+    bool receive_loan(Time now, const members::Word& item);
 
-    QuotaLendingOptions terms_;
+    QuotaLendingOptions options_;
     std::string self_;
-    std::uint64_t rank_, first_rank_;
-    Time counted_until_ = 0;
-    std::mt19937_64 chance_;
-    std::map<std::uint64_t, Shortage> lacks_;        // by tenant
-    std::map<std::string, members::Word> words_;     // by key: what is passed on, while it lives
-    std::map<std::string, std::uint64_t> taken_to_;  // by lender: no loan up to this rank is taken any more
-    std::map<std::string, std::map<std::uint64_t, Time>> taken_;  // over that: when each was taken
-    std::vector<members::Word> telling_;
-    std::vector<LoanRequest> asked_;
+    // Sequence number of the last message sent, and that of the start.
+    std::uint64_t sequence_, first_sequence_;
+    Time lend_nothing_until_ = 0;
+    std::mt19937_64 rng_;
+    // By tenant.
+    std::map<std::uint64_t, Shortage> shortages_;
+    // By key: items that are passed on until they expire.
+    std::map<std::string, members::Word> items_;
+    // By lender: no loan up to this sequence number is taken any more.
+    std::map<std::string, std::uint64_t> taken_up_to_;
+    // By lender, loans taken above it: when each was.
+    std::map<std::string, std::map<std::uint64_t, Time>> taken_;
+    std::vector<members::Word> outgoing_;
+    std::vector<LoanRequest> requests_;
     std::vector<Loan> loans_;
     Counters counters_;
 };
--- a/tests/limits/decisions.cpp
+++ b/tests/limits/decisions.cpp
@@ -1,5 +1,5 @@
-// What moves of parts, as the decisions have it: who lacks says so, who spares has less, what is lent is let
-// in by.
+// Lending of quota shares by the decisions: a gateway without tokens reports a shortage, a lender has fewer
+// tokens, a borrower admits requests by the loan.
 #include "dewweir/decisions.h"
 
 #include <doctest/doctest.h>
@@ -11,23 +11,23 @@
 
 namespace {
 
-struct Parts : Stage {
-    std::vector<std::pair<QuotaShare, double>> lacking;
-    void report_shortage(const QuotaShare& of, double units) override { lacking.emplace_back(of, units); }
+struct LendingStage : Stage {
+    std::vector<std::pair<QuotaShare, double>> shortages;
+    void report_shortage(const QuotaShare& of, double units) override { shortages.emplace_back(of, units); }
 };
 
-// Three gateways, 12 units a quota and three hosts; the counter never answers.
-struct Silent {
-    Parts stage;
+// Three gateways share a quota with a burst of 12 units; three hosts; the counter never answers.
+struct WithoutCounter {
+    LendingStage stage;
     Decisions decisions;
     std::uint32_t next = 0;
 
-    Silent() : decisions(stage, settings(), 1, stage.now) {
+    WithoutCounter() : decisions(stage, settings(), 1, stage.now) {
         decisions.list_begins(stage.now, true);
         for (std::uint32_t host = 1; host <= 3; ++host)
             decisions.host_listed(stage.now, host, HostState::ready, 0, 0, 0);
         decisions.list_ends(stage.now);
-        // The breaker opens by another tenant's calls.
+        // Opens the breaker by the calls of another tenant.
         for (int n = 0; n < 3; ++n) submit(99);
     }
     static Settings settings() {
@@ -60,7 +60,7 @@
                 {"plans.0.extra_benefit", "0"},
                 {"plans.0.overrun_cost", "0.5"}};
     }
-    // Whether it is let in. A call that is out is told as failed at once.
+    // Whether the request is admitted. Calls to the counter time out at once.
     bool submit(std::uint64_t tenant) {
         const std::uint32_t id = ++next;
         stage.seen.clear();
@@ -70,41 +70,41 @@
             stage.asked.pop_back();
             decisions.counter_replied(stage.now, name, AttemptOutcome::timeout, 0, 500);
         }
-        bool in = false;
-        for (const std::string& one : stage.seen) in |= one.rfind("execute", 0) == 0;
-        if (in)
+        bool sent = false;
+        for (const std::string& one : stage.seen) sent |= one.rfind("execute", 0) == 0;
+        if (sent)
             decisions.attempt_ended(stage.now, id, 1, static_cast<std::uint32_t>(stage.on.at(id)),
                                     AttemptOutcome::ok, 10, true, 0);
-        return in;
+        return sent;
     }
-    int let_in(std::uint64_t tenant, int tries) {
+    int admitted(std::uint64_t tenant, int requests) {
         int in = 0;
-        for (int n = 0; n < tries; ++n) in += submit(tenant);
+        for (int n = 0; n < requests; ++n) in += submit(tenant);
         return in;
     }
 };
 
 }  // namespace
 
-TEST_CASE("a used part says what it lacks; what is lent is let in by, once, and is over in time") {
-    Silent gateway;
-    CHECK(gateway.let_in(7, 8) == 4);  // a third of twelve
-    REQUIRE(gateway.stage.lacking.size() == 4);
-    const QuotaShare of = gateway.stage.lacking[0].first;
+TEST_CASE("an empty share reports the shortage; a loan admits requests once, and expires") {
+    WithoutCounter gateway;
+    CHECK(gateway.admitted(7, 8) == 4);  // a third of twelve
+    REQUIRE(gateway.stage.shortages.size() == 4);
+    const QuotaShare of = gateway.stage.shortages[0].first;
     CHECK(of == QuotaShare{7, 0, 3, 0.0006, 12});
     gateway.decisions.receive_loan(gateway.stage.now, 7, 3,
                                    limits::LoanBalance::expiry_of(gateway.stage.now));
-    CHECK(gateway.let_in(7, 8) == 3);
+    CHECK(gateway.admitted(7, 8) == 3);
     gateway.decisions.receive_loan(gateway.stage.now, 7, 3, gateway.stage.now - 1);
     gateway.decisions.receive_loan(gateway.stage.now, 1234, 3,
-                                   limits::LoanBalance::expiry_of(gateway.stage.now));  // of nobody known
-    CHECK(gateway.let_in(7, 8) == 0);
+                                   limits::LoanBalance::expiry_of(gateway.stage.now));  // an unknown tenant
+    CHECK(gateway.admitted(7, 8) == 0);
 }
 
 TEST_CASE(
-    "what a part spares has left it and its room, until it is over; another plan or division spares "
-    "nothing") {
-    Silent gateway;
+    "lent units leave the share and its capacity until they expire; for another plan or number of gateways "
+    "nothing is lent") {
+    WithoutCounter gateway;
     const Time now = gateway.stage.now;
     for (const QuotaShare& other :
          {QuotaShare{7, 1, 3, 0.0006, 12}, QuotaShare{7, -1, 3, 0.0006, 12}, QuotaShare{7, 0, 2, 0.0006, 12},
@@ -112,10 +112,10 @@
         CHECK(gateway.decisions.lend_tokens(now, other, 9) == 0);
     const QuotaShare of{7, 0, 3, 0.0006, 12};
     CHECK(gateway.decisions.lend_tokens(now, of, 0.5) == 0.5);
-    CHECK(gateway.decisions.lend_tokens(now, of, 9) == 1.75);  // half of what is left
-    // A second and a half would fill the part; what is out is no room to fill.
+    CHECK(gateway.decisions.lend_tokens(now, of, 9) == 1.75);  // half of the rest
+    // 1.5 s would refill the share, but its capacity is lower by the units lent.
     gateway.stage.now += 15000;
-    CHECK(gateway.let_in(7, 8) == 1);
+    CHECK(gateway.admitted(7, 8) == 1);
     gateway.stage.now += 600000;
-    CHECK(gateway.let_in(7, 8) == 4);
+    CHECK(gateway.admitted(7, 8) == 4);
 }
