--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -147,8 +147,8 @@
 void QuotaClient::forget_idle() {
     if (loop_.now() - forgot_at_ < forget_interval) return;
     forgot_at_ = loop_.now();
-    held_.forget_idle(loop_.steady_now());
-    admission_.forget_idle(loop_.steady_now());
+    held_.drop_idle(loop_.steady_now());
+    admission_.drop_idle(loop_.steady_now());
 }
 
 }  // namespace dewweir::gateway
--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr std::chrono::seconds idle_limit{30};
-// The shortest pause that a refused client is told.
+// The shortest pause that refused clients are advised.
 constexpr std::chrono::milliseconds least_retry_after{20};
-// Who was refused in a short rush need not wait for all the others: demand may have fallen by then.
+// Clients refused in a short burst need not wait for all the others: demand may have fallen by then.
 constexpr std::chrono::milliseconds longest_turn{1000};
 
 double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
@@ -17,7 +17,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(duration));
 }
 
-// This gateway's part of a window's limit: one request at least.
+// This gateway's share of a window's limit, 1 request at least.
 double bucket_size(const WindowCheck& check, int gateways) { return std::max(1.0, check.limit / gateways); }
 
 }  // namespace
@@ -38,7 +38,7 @@
     return tenant;
 }
 
-Statement Admission::state(TimePoint now, TenantId id, Tenant& tenant) const {
+Statement Admission::make_statement(TimePoint now, TenantId id, Tenant& tenant) const {
     Statement statement;
     statement.tenant = id;
     statement.gateway = self_;
@@ -56,23 +56,24 @@
     Tenant& tenant = tenant_of(now, id, quota, gateways);
     if (!holder_reachable) {
         Decision decision = decide_locally(now, tenant, false);
-        // Told all the same: the breaker may be open here alone, and the others must not use this part again.
-        if (decision.result == Admitted::passed) decision.statement = state(now, id, tenant);
+        // Stated all the same: the breaker may be open here only, and the others must not admit these
+        // requests too.
+        if (decision.result == Admitted::passed) decision.statement = make_statement(now, id, tenant);
         return decision;
     }
     const Duration window = tenant.check.window;
     const double own = tenant.own.estimate(now, window);
     const bool fresh = tenant.answered_at && now - *tenant.answered_at < window;
     if (fresh) {
-        // Even if no other gateway has let anything in since.
+        // Over the limit even if no other gateway has admitted anything since the answer.
         const double decayed = tenant.others * (1 - seconds(now - *tenant.answered_at) / seconds(window));
         if (own + decayed + 1 > tenant.check.limit) return refuse(now, tenant);
     }
-    const double room = (tenant.check.limit - own - tenant.others) / tenant.gateways;
-    const bool ahead = fresh && static_cast<double>(tenant.ahead.size()) + 1 <= room;
+    const double allowed_ahead = (tenant.check.limit - own - tenant.others) / tenant.gateways;
+    const bool ahead = fresh && static_cast<double>(tenant.ahead.size()) + 1 <= allowed_ahead;
     tenant.own.add(now, window, 1);
     Decision decision{ahead ? Admitted::passed : Admitted::pending};
-    decision.statement = state(now, id, tenant);
+    decision.statement = make_statement(now, id, tenant);
     decision.wants_answer = true;
     if (ahead) tenant.ahead.push_back(decision.statement->sequence);
     return decision;
@@ -89,14 +90,14 @@
     const double others = held.others;
     tenant.others = others;
     tenant.answered_at = now;
-    // Going over to the bucket must mint no quota: it holds this gateway's part of what is left.
+    // Going over to the bucket must not create tokens: it holds this gateway's share of what is left.
     refill(now, tenant);
     const double left = std::clamp(1 - (own + others) / tenant.check.limit, 0.0, 1.0);
     tenant.tokens = std::min(tenant.tokens, left * bucket_size(tenant.check, tenant.gateways));
     if (was_ahead || own + others <= tenant.check.limit) return {Admitted::passed};
     tenant.own.add(now, window, -1);
     Decision decision = refuse(now, tenant);
-    decision.statement = state(now, id, tenant);  // gives back what it had added
+    decision.statement = make_statement(now, id, tenant);  // without the request
     return decision;
 }
 
@@ -109,7 +110,7 @@
     return decide_locally(now, tenant, true);
 }
 
-// The holder hears of it with the next statement.
+// The next statement tells the holder.
 void Admission::give_back(TimePoint now, TenantId id) {
     const auto found = tenants_.find(id);
     if (found == tenants_.end()) return;
@@ -125,7 +126,7 @@
     tenant.refilled_at = now;
 }
 
-// `counted`: the request is in the own count already.
+// `counted`: the request is in the gateway's own count already.
 Decision Admission::decide_locally(TimePoint now, Tenant& tenant, bool counted) {
     refill(now, tenant);
     const Duration window = tenant.check.window;
@@ -140,27 +141,27 @@
             std::max<Duration>(from_seconds((1 - tenant.tokens) / rate), least_retry_after)};
 }
 
-// Not before the estimate has room: it falls at least as fast as what was counted leaves the window. And not
-// before those refused earlier, if all of them came back in turn: of every window's requests so many pass,
-// and so many wait.
-Duration Admission::time_until_served(TimePoint now, Tenant& tenant) const {
+// Until the estimate is under the limit: it falls at least as fast as counted requests leave the window. And
+// until the requests refused earlier have had their turn, if all of them come back: as many pass per window
+// as in the last one.
+Duration Admission::time_until_admitted(TimePoint now, Tenant& tenant) const {
     const Duration window = tenant.check.window;
     const double own = tenant.own.estimate(now, window);
     const double total = own + tenant.others;
     const double excess = std::max(0.0, total + 1 - tenant.check.limit);
-    const double until_room = seconds(window) * excess / std::max(1.0, total);
+    const double until_under_limit = seconds(window) * excess / std::max(1.0, total);
     const double waiting = tenant.refused.estimate(now, window) / std::max(1.0, own);
     const double in_turn = std::min(seconds(window) * waiting, seconds(longest_turn));
-    return std::max<Duration>(from_seconds(std::max(until_room, in_turn)), least_retry_after);
+    return std::max<Duration>(from_seconds(std::max(until_under_limit, in_turn)), least_retry_after);
 }
 
 Decision Admission::refuse(TimePoint now, Tenant& tenant) const {
-    const Duration wait = time_until_served(now, tenant);
+    const Duration wait = time_until_admitted(now, tenant);
     tenant.refused.add(now, tenant.check.window, 1);
     return {Admitted::refused, wait};
 }
 
-void Admission::forget_idle(TimePoint now) {
+void Admission::drop_idle(TimePoint now) {
     std::erase_if(tenants_, [&](const auto& item) { return now - item.second.used_at > idle_limit; });
 }
 
--- a/src/quota/breaker.h
+++ b/src/quota/breaker.h
@@ -1,5 +1,5 @@
-// The circuit breaker before a counter gateway: opens after failures in a row, lets one call through after a
-// pause, closes with the first answer. Pure.
+// Circuit breaker before the gateway that holds a tenant's counts: opens after consecutive failures, lets one
+// probe call through after a pause, closes with the first answer. Pure.
 #pragma once
 
 #include "quota/sliding_count.h"
@@ -7,8 +7,10 @@
 namespace dewweir::quota {
 
 struct BreakerOptions {
+    // Consecutive failures that open the breaker.
     int failures_to_open = 3;
-    std::chrono::milliseconds pause{500};  // until a call is tried again
+    // From the opening, or a failed probe, until the next probe.
+    std::chrono::milliseconds pause{500};
 };
 
 class Breaker {
--- a/src/quota/count_holder.cpp
+++ b/src/quota/count_holder.cpp
@@ -4,15 +4,15 @@
 namespace {
 
 constexpr std::chrono::seconds idle_limit{20};
-// A statement of a gateway that counts for nothing any more is dropped.
+// In requests; the record of a gateway whose estimate has fallen below it is dropped.
 constexpr double negligible = 1e-9;
 
 }  // namespace
 
 HeldCount CountHolder::state(TimePoint now, const Statement& statement) {
     Tenant& tenant = tenants_[statement.tenant];
-    tenant.spoken_of = now;
-    Stated& own = tenant.gateways[statement.gateway];
+    tenant.last_statement_at = now;
+    GatewayCount& own = tenant.gateways[statement.gateway];
     if (statement.sequence >= own.sequence) {
         own.sequence = statement.sequence;
         own.count = SlidingCount(now - statement.elapsed, statement.current, statement.previous);
@@ -28,8 +28,9 @@
     return {others, std::chrono::duration_cast<std::chrono::milliseconds>(elapsed)};
 }
 
-void CountHolder::forget_idle(TimePoint now) {
-    std::erase_if(tenants_, [&](const auto& item) { return now - item.second.spoken_of > idle_limit; });
+void CountHolder::drop_idle(TimePoint now) {
+    std::erase_if(tenants_,
+                  [&](const auto& item) { return now - item.second.last_statement_at > idle_limit; });
 }
 
 }  // namespace dewweir::quota
--- a/src/quota/count_holder.h
+++ b/src/quota/count_holder.h
@@ -1,6 +1,7 @@
-// The counts that one gateway holds for all: of each tenant, what every gateway has let in, as each states
-// it. A statement replaces the one before it of the same gateway, so that lost, doubled and late ones do no
-// harm, and a holder that has lost all is rebuilt by everybody's next call. Pure.
+// The counts that one gateway holds for all: for each tenant, how many requests every gateway has admitted,
+// as each gateway states it. A statement replaces the previous one of its gateway, so that lost, duplicated
+// and late messages do no harm, and a holder that has lost its data recovers it from the next call of every
+// gateway. Pure.
 #pragma once
 
 #include <cstdint>
@@ -12,42 +13,48 @@
 namespace dewweir::quota {
 
 using TenantId = std::uint64_t;
-using GatewayIncarnation = std::uint64_t;  // of one gateway process
+// Identifies one gateway process; differs after a restart.
+using GatewayIncarnation = std::uint64_t;
 
-// What a gateway states of a tenant: its own count, in windows by its own clock.
+// What a gateway states about a tenant: its own count, in windows of its own clock.
 struct Statement {
     TenantId tenant = 0;
     GatewayIncarnation gateway = 0;
-    std::uint64_t sequence = 0;  // grows within the gateway's life
+    // Grows within an incarnation.
+    std::uint64_t sequence = 0;
+    // Length of the window.
     std::chrono::milliseconds window{0};
-    std::chrono::milliseconds elapsed{0};  // of its window
+    // Time since the current window began.
+    std::chrono::milliseconds elapsed{0};
+    // Requests counted in the current window and in the one before.
     double current = 0;
     double previous = 0;
 };
 
 // The holder's answer to a statement.
 struct HeldCount {
-    double others = 0;  // estimate of all other gateways together, in requests
-    // Of the holder's window, to which all gateways bring theirs; nothing where it is not known.
+    // Estimated requests of all other gateways in a sliding window.
+    double others = 0;
+    // Time since the holder's window began; all gateways align theirs to it. Empty: unknown.
     std::optional<std::chrono::milliseconds> elapsed;
 };
 
 class CountHolder {
   public:
-    // Takes the statement over.
+    // Takes over a statement, unless a later one of its gateway is known, and answers it.
     HeldCount state(TimePoint now, const Statement& statement);
-    // Forgets tenants that nobody has spoken of for long.
-    void forget_idle(TimePoint now);
+    // Drops tenants without a statement for 20 s.
+    void drop_idle(TimePoint now);
     std::size_t tenants() const { return tenants_.size(); }
 
   private:
-    struct Stated {
+    struct GatewayCount {
         std::uint64_t sequence = 0;
         SlidingCount count;
     };
     struct Tenant {
-        std::map<GatewayIncarnation, Stated> gateways;
-        TimePoint spoken_of{};
+        std::map<GatewayIncarnation, GatewayCount> gateways;
+        TimePoint last_statement_at{};
     };
     std::map<TenantId, Tenant> tenants_;
 };
--- a/src/quota/sliding_count.h
+++ b/src/quota/sliding_count.h
@@ -1,5 +1,5 @@
-// The sliding window estimate of one counting process: previous count x (1 - fraction of the window elapsed)
-// + current count (Singh, "Your rate limiter will fail open or closed"). Pure.
+// Sliding window estimate of one gateway's requests: previous count x (1 - fraction of the window elapsed) +
+// current count (Singh, "Your rate limiter will fail open or closed"). Pure.
 #pragma once
 
 #include <algorithm>
@@ -10,9 +10,10 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 
-// A quota as the operator states it. Requests, and requests a second.
+// A tenant's quota as configured, in requests per second and requests.
 struct Quota {
-    double rate_per_s = 0;  // 0: no limit
+    // 0: no limit.
+    double rate_per_s = 0;
     double burst = 0;
 
     auto operator<=>(const Quota&) const = default;
@@ -23,15 +24,16 @@
 class SlidingCount {
   public:
     SlidingCount() = default;
-    // As another process states it: when its window began, by the clock here.
+    // The count of another process. `began`: when its window began, by the clock here.
     SlidingCount(TimePoint began, double current, double previous)
         : began_(began), current_(current), previous_(previous) {}
 
-    void add(TimePoint now, Duration window, double units) {
+    // Adds requests, or takes them back if negative; the current count never falls below 0.
+    void add(TimePoint now, Duration window, double requests) {
         roll(now, window);
-        current_ = std::max(0.0, current_ + units);
+        current_ = std::max(0.0, current_ + requests);
     }
-    // Of the window now under way and the part of the one before that still overlaps.
+    // Requests in the current window and in the part of the previous one that still overlaps.
     double estimate(TimePoint now, Duration window) {
         roll(now, window);
         const double elapsed =
@@ -39,8 +41,8 @@
         return previous_ * (1 - elapsed) + current_;
     }
 
-    // Brings the window to one that began at `boundary`, within the last `window`, once the own one has begun
-    // before it. What was counted goes to both windows as if it had come evenly.
+    // Moves the window to one that began at `boundary`, which lies within the last `window`, unless its own
+    // began later. The counts are split between the windows as if the requests had come evenly.
     void align(TimePoint now, Duration window, TimePoint boundary) {
         roll(now, window);
         const Duration late = boundary - began_;
@@ -59,7 +61,8 @@
     double previous() const { return previous_; }
 
   private:
-    // Windows this part of their length apart, by delays of the network, count as aligned.
+    // Windows whose beginnings differ by less than 1 / 16 of their length, for network delays, count as
+    // aligned.
     static constexpr int alignment_parts = 16;
 
     void roll(TimePoint now, Duration window) {
--- a/src/quota/window_check.h
+++ b/src/quota/window_check.h
@@ -1,32 +1,36 @@
-// The window of the check and what may pass in one, from a tenant's quota and the bound that the rules set.
-// Pure.
+// The window of a tenant's quota check and how many requests may pass in one, from the quota and the bound
+// that the rules set. Pure.
 #pragma once
 
 #include "quota/sliding_count.h"
 
 namespace dewweir::quota {
 
-// Of the rules: in any span of this length a tenant gets at most (rate x span + burst) x (1 + overshoot) +
-// slack.
+// The rule: in any span of this length a tenant gets at most (rate x span + burst) x (1 + overshoot) + slack
+// requests.
 struct QuotaBound {
     std::chrono::milliseconds span{5000};
     double overshoot = 0;
-    double slack = 0;  // requests
+    // Requests.
+    double slack = 0;
 };
 
 struct WindowCheck {
+    // Length of the window.
     Duration window{};
-    double limit = 0;  // requests in one window, one at least
+    // Requests in one window, 1 at least.
+    double limit = 0;
 };
 
 constexpr std::chrono::milliseconds shortest_window{500};
 constexpr std::chrono::milliseconds longest_window{5000};
-// Part of the bound that the check uses; the rest is for local buckets while a holder can't be asked.
+// Fraction of the bound that the check uses; the rest is for the local buckets while a holder is unreachable.
 constexpr double bound_used = 0.93;
 
-// In a span s the two-window check passes at most (s / window + 1) x limit: the windows that lie in it, and
-// what had passed at the end of the one before. The window is the longest for which a limit of rate x window
-// keeps to the bound: long windows refuse less by chance. (The essay has burst / rate and burst.)
+// In a span the sliding window check passes at most (span / window + 1) x limit requests: those of the
+// windows that lie in the span, and those that passed at the end of the window before. The result is the
+// longest window for which a limit of rate x window keeps the bound, since long windows refuse fewer requests
+// by chance. (The essay uses burst / rate and burst.)
 WindowCheck check_for(const Quota& quota, const QuotaBound& bound);
 
 }  // namespace dewweir::quota
--- a/tests/quota/admission.cpp
+++ b/tests/quota/admission.cpp
@@ -1,4 +1,4 @@
-// Examples of one gateway's decisions: asked, ahead of the answer, refused, and from the local bucket.
+// One gateway's decisions by example: pending, passed ahead of the answer, refused, and by the local bucket.
 #include "quota/admission.h"
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
 const Quota quota{61, 61};
 const double limit = check_for(quota, rules).limit;
 
-// Requests until one is refused, the holder out of reach.
+// Requests until one is refused, while the holder is unreachable. Returns how many passed.
 int passed_locally(Admission& admission, TimePoint now, const Quota& limits, int gateways) {
     int passed = 0;
     while (admission.request(now, tenant, limits, gateways, false).result == Admitted::passed) ++passed;
@@ -41,11 +41,11 @@
           Admitted::passed);
 
     const Decision second = admission.request(start, tenant, quota, 4, true);
-    CHECK(second.result == Admitted::refused);  // known before: nothing is asked
+    CHECK(second.result == Admitted::refused);  // known already: no statement is sent
     CHECK_FALSE(second.statement);
 }
 
-TEST_CASE("a request refused by the answer is taken back from the count") {
+TEST_CASE("a request that the answer refuses is removed from the count") {
     Admission admission(1, rules);
     const Decision asked = admission.request(start, tenant, quota, 4, true);
     const Decision refused = admission.answered(start, tenant, asked.statement->sequence, {limit, 0ms});
@@ -55,21 +55,21 @@
     CHECK(refused.statement->current == 0);
 }
 
-TEST_CASE("ahead of their answers pass at most this gateway's part of what is left") {
+TEST_CASE("ahead of their answers pass at most this gateway's share of what is left") {
     Admission admission(1, rules);
     const Decision asked = admission.request(start, tenant, quota, 4, true);
     admission.answered(start, tenant, asked.statement->sequence, {0, 0ms});
     int ahead = 0;
     while (admission.request(start, tenant, quota, 4, true).result == Admitted::passed) ++ahead;
     CHECK(ahead >= 1);
-    // Each also takes from what is left.
+    // Each passed request also takes from what is left.
     CHECK(ahead <= (limit - 1 - ahead) / 4 + 1);
 }
 
-TEST_CASE("retry_after says a time at which the request may pass") {
+TEST_CASE("after retry_after the request may pass") {
     Admission admission(1, rules);
     const Decision asked = admission.request(start, tenant, quota, 4, true);
-    // All of it was let in elsewhere, at the very moment of the answer.
+    // Other gateways admitted the complete limit at the moment of the answer.
     const Decision refused = admission.answered(start, tenant, asked.statement->sequence, {limit, 0ms});
     REQUIRE(refused.result == Admitted::refused);
     CHECK(refused.retry_after >= 20ms);
@@ -79,7 +79,7 @@
     CHECK(admission.request(later, tenant, quota, 4, true).result != Admitted::refused);
 }
 
-TEST_CASE("the local bucket holds this gateway's part and says when it has the next") {
+TEST_CASE("the local bucket holds this gateway's share, and retry_after is when it has the next token") {
     Admission admission(1, rules);
     const int passed = passed_locally(admission, start, quota, 4);
     CHECK(passed == static_cast<int>(limit / 4));
@@ -91,7 +91,7 @@
           Admitted::passed);
 }
 
-TEST_CASE("what the local bucket lets in is told to the holder, and no answer awaited") {
+TEST_CASE("requests that the local bucket admits are stated to the holder without waiting for an answer") {
     Admission admission(1, rules);
     const Decision passed = admission.request(start, tenant, quota, 4, false);
     REQUIRE(passed.statement);
@@ -105,14 +105,14 @@
     CHECK(passed_locally(admission, start, {0.2, 0}, 500) == 1);
 }
 
-TEST_CASE("going over to the bucket mints no quota") {
+TEST_CASE("going over to the local bucket creates no tokens") {
     Admission admission(1, rules);
     const Decision asked = admission.request(start, tenant, quota, 4, true);
     admission.answered(start, tenant, asked.statement->sequence, {limit - 1, 0ms});
     CHECK(passed_locally(admission, start, quota, 4) == 0);
 }
 
-TEST_CASE("without an answer the bucket decides, and what it lets in is stated next") {
+TEST_CASE("without an answer the local bucket decides, and the next statement counts what it admitted") {
     Admission admission(1, rules);
     const Decision asked = admission.request(start, tenant, quota, 4, true);
     CHECK(admission.unanswered(start + 50ms, tenant, asked.statement->sequence).result == Admitted::passed);
@@ -122,21 +122,21 @@
     CHECK(next.statement->current == static_cast<int>(limit / 4) + 1);
 }
 
-TEST_CASE("a lower quota binds at once") {
+TEST_CASE("a lower quota holds at once") {
     Admission admission(1, rules);
     const Decision asked = admission.request(start, tenant, quota, 1, true);
     admission.answered(start, tenant, asked.statement->sequence, {40, 0ms});
     const Decision lowered = admission.request(start, tenant, {1, 0}, 1, true);
-    CHECK(lowered.result == Admitted::pending);  // what others had was counted in other windows
+    CHECK(lowered.result == Admitted::pending);  // the others' count is of windows of another length
     CHECK(admission.answered(start, tenant, lowered.statement->sequence, {40, 0ms}).result ==
           Admitted::refused);
 }
 
-TEST_CASE("idle tenants are forgotten") {
+TEST_CASE("idle tenants are dropped") {
     Admission admission(1, rules);
     admission.request(start, tenant, quota, 4, true);
-    admission.forget_idle(start + 30s);
+    admission.drop_idle(start + 30s);
     CHECK(admission.tenants() == 1);
-    admission.forget_idle(start + 30s + 1ms);
+    admission.drop_idle(start + 30s + 1ms);
     CHECK(admission.tenants() == 0);
 }
--- a/tests/quota/phases.cpp
+++ b/tests/quota/phases.cpp
@@ -1,5 +1,5 @@
-// The worst demand for windows that begin at different moments: each gateway is asked only at the end of its
-// own window, so that everything let in begins to fade at once.
+// The worst demand for windows that begin at different moments: each gateway receives requests only at the
+// end of its own window, so that everything it admits starts to leave the estimate at once.
 #include <catch2/catch.hpp>
 
 #include "quota/schedule.h"
@@ -10,8 +10,8 @@
 constexpr int gateways = 12;
 constexpr milliseconds step{1};
 
-// All that the gateways let in, over a network without delay.
-std::vector<TimePoint> press_at_window_ends(const Quota& quota) {
+// When requests were admitted, over a network without delay.
+std::vector<TimePoint> admitted_at_window_ends(const Quota& quota) {
     const Duration window = check_for(quota, rules).window;
     CountHolder holder;
     std::vector<Admission> admissions;
@@ -36,7 +36,7 @@
         ask(began + window * index / gateways, admissions[static_cast<std::size_t>(index)]);
     }
     for (TimePoint now = began + window; now < began + window + played; now += step) {
-        // The gateway whose window ends with this twelfth.
+        // The gateway whose window ends in this twelfth.
         const auto turn =
             static_cast<std::size_t>(((now - began) % window * gateways / window + 1) % gateways);
         while (ask(now, admissions[turn])) continue;
@@ -46,9 +46,9 @@
 
 }  // namespace
 
-TEST_CASE("demand that follows the ends of the gateways' windows stays within the rule") {
+TEST_CASE("demand at the ends of the gateways' windows stays within the rule") {
     const Quota quota{60, 60};
-    const std::size_t most = most_in_a_span(press_at_window_ends(quota));
+    const std::size_t most = most_in_a_span(admitted_at_window_ends(quota));
     CHECK(static_cast<double>(most) <= allowed(quota));
 }
 
--- a/tests/quota/pieces.cpp
+++ b/tests/quota/pieces.cpp
@@ -1,4 +1,4 @@
-// Examples of each piece: the sliding count, the window of a quota, the breaker and the holder.
+// The parts by example: the sliding count, the window of a quota, the breaker and the holder.
 #include <catch2/catch.hpp>
 
 #include "quota/breaker.h"
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("a sliding count weighs the window before by what still overlaps") {
+TEST_CASE("a sliding count weighs the previous window by the part that still overlaps") {
     SlidingCount count;
     count.add(start, 10s, 8);
     CHECK(count.estimate(start + 9'999ms, 10s) == Approx(8));
@@ -39,23 +39,23 @@
     CHECK(count.estimate(start + 20s, 10s) == Approx(2));
 }
 
-TEST_CASE("a window is brought to another's beginning, and its counts as if they had come evenly") {
+TEST_CASE("aligning a window splits its counts as if the requests had come evenly") {
     SlidingCount count;
     count.add(start - 16s, 16s, 4);
     count.add(start, 16s, 9);
-    count.align(start + 4s, 16s, start - 8s);  // began before: waits for its next one
+    count.align(start + 4s, 16s, start - 8s);  // it began earlier: aligned after the next roll only
     CHECK(count.began() == start);
     count.align(start + 9s, 16s, start + 8s);
     CHECK(count.began() == start + 8s);
     CHECK(count.previous() == Approx(4 * 0.5 + 8));
     CHECK(count.current() == Approx(1));
-    count.align(start + 9s, 16s, start + 9s);  // within a sixteenth
+    count.align(start + 9s, 16s, start + 9s);  // differs by less than a sixteenth
     CHECK(count.began() == start + 8s);
-    count.align(start + 23'500ms, 16s, start + 23'500ms);  // its next one, a little early
+    count.align(start + 23'500ms, 16s, start + 23'500ms);  // the next boundary, a little early
     CHECK(count.began() == start + 8s);
 }
 
-TEST_CASE("a count idle for two windows is nothing, and one taken back never falls below nothing") {
+TEST_CASE("a count is 0 after two idle windows, and never falls below 0") {
     SlidingCount count;
     count.add(start, 10s, 8);
     CHECK(count.estimate(start + 20s, 10s) == 0);
@@ -104,7 +104,7 @@
     CHECK(breaker.allows(start + 1'101ms));
 }
 
-TEST_CASE("a holder answers what all others have let in") {
+TEST_CASE("a holder answers with the count of all other gateways") {
     CountHolder holder;
     CHECK(holder.state(start, statement_of(1, 1, 4)).others == 0);
     CHECK(holder.state(start, statement_of(2, 1, 3)).others == Approx(4));
@@ -114,22 +114,22 @@
     CHECK(holder.state(start + 2s, statement_of(3, 3, 0)).others == 0);
 }
 
-TEST_CASE("statements that are doubled, late or overtaken change nothing") {
+TEST_CASE("duplicated, late and reordered statements change nothing") {
     CountHolder holder;
     holder.state(start, statement_of(1, 2, 7));
     holder.state(start, statement_of(1, 2, 7));
     holder.state(start, statement_of(1, 1, 6));
     CHECK(holder.state(start, statement_of(2, 1, 0)).others == Approx(7));
-    // Another life of the same machine counts beside the first.
+    // Another incarnation of the same gateway is counted besides the first.
     holder.state(start, statement_of(3, 1, 2));
     CHECK(holder.state(start, statement_of(2, 2, 0)).others == Approx(9));
 }
 
-TEST_CASE("a holder forgets tenants that nobody speaks of") {
+TEST_CASE("a holder drops tenants without statements") {
     CountHolder holder;
     holder.state(start, statement_of(1, 1, 1));
-    holder.forget_idle(start + 20s);
+    holder.drop_idle(start + 20s);
     CHECK(holder.tenants() == 1);
-    holder.forget_idle(start + 20s + 1ms);
+    holder.drop_idle(start + 20s + 1ms);
     CHECK(holder.tenants() == 0);
 }
--- a/tests/quota/schedule.cpp
+++ b/tests/quota/schedule.cpp
@@ -11,20 +11,20 @@
 namespace dewweir::quota::testing {
 namespace {
 
-// As src/gateway/quota_client.cpp has them.
+// The same values as in src/gateway/quota_client.cpp.
 constexpr microseconds shortest_wait{50'000};
 constexpr microseconds longest_wait{250'000};
 constexpr int round_trips_waited = 3;
 constexpr int round_trip_smoothing = 8;
-// Demand::bursts: quiet, then for a moment all that was not asked meanwhile.
+// Demand::bursts: no requests, then for a moment all that were held back.
 constexpr milliseconds burst_period{2'500};
 constexpr milliseconds burst_length{250};
 constexpr milliseconds weights_last{1'500};
 
-// Events in order of their time, and of their making where that is equal.
+// Events in order of time, those of equal time in the order in which they were added.
 class Agenda {
   public:
-    void at(TimePoint when, std::function<void()> what) { events_.push({when, ++made_, std::move(what)}); }
+    void at(TimePoint when, std::function<void()> what) { events_.push({when, ++added_, std::move(what)}); }
     TimePoint now() const { return now_; }
     void run_until(TimePoint end) {
         while (!events_.empty() && events_.top().when < end) {
@@ -46,7 +46,7 @@
         }
     };
     std::priority_queue<Event> events_;
-    std::uint64_t made_ = 0;
+    std::uint64_t added_ = 0;
     TimePoint now_ = began;
 };
 
@@ -56,11 +56,12 @@
     TimePoint sent{};
 };
 
-// One gateway with what its quota client keeps of the holder.
+// One gateway, with what its quota client knows about the holder.
 struct Gateway {
-    explicit Gateway(GatewayIncarnation own_life) : life(own_life), admission(own_life, rules) {}
+    explicit Gateway(GatewayIncarnation own_incarnation)
+        : incarnation(own_incarnation), admission(own_incarnation, rules) {}
 
-    GatewayIncarnation life;
+    GatewayIncarnation incarnation;
     Admission admission;
     Breaker breaker;
     microseconds round_trip{0};
@@ -71,7 +72,7 @@
   public:
     Schedule(const Plan& plan, std::uint64_t seed, Sabotage sabotage)
         : plan_(plan), random_(seed ^ 0x9e3779b97f4a7c15), sabotage_(sabotage) {
-        for (int index = 0; index < plan.gateways; ++index) gateways_.emplace_back(++lives_);
+        for (int index = 0; index < plan.gateways; ++index) gateways_.emplace_back(++incarnations_);
         result_.plan = plan;
         result_.tenants.resize(plan.tenants.size());
         weights_.resize(plan.tenants.size());
@@ -80,7 +81,7 @@
     ScheduleResult run() {
         for (const TimePoint at : plan_.holder_restarts) agenda_.at(at, [this] { holder_ = CountHolder(); });
         for (const Restart& restart : plan_.gateway_restarts) {
-            agenda_.at(restart.at, [this, restart] { gateway(restart.gateway) = Gateway(++lives_); });
+            agenda_.at(restart.at, [this, restart] { gateway(restart.gateway) = Gateway(++incarnations_); });
         }
         for (std::size_t tenant = 0; tenant < plan_.tenants.size(); ++tenant) {
             draw_weights(tenant);
@@ -129,7 +130,7 @@
         return std::ranges::any_of(plan_.silent, [&](const Span& span) { return span.holds(agenda_.now()); });
     }
 
-    // Calls `arrives` for every copy of a datagram that comes through.
+    // Calls `arrives` for every copy of a datagram that is delivered.
     void send(int index, const std::function<void()>& arrives) {
         if (cut(index)) return;
         const int copies = draw() < plan_.doubling ? 2 : 1;
@@ -183,7 +184,7 @@
 
     void answered(int index, const Statement& statement, const HeldCount& held) {
         Gateway& here = gateway(index);
-        if (here.life != statement.gateway) return;
+        if (here.incarnation != statement.gateway) return;
         const auto found = here.calls.extract({statement.tenant, statement.sequence});
         if (!found) return;
         const Call& call = found.mapped();
@@ -199,7 +200,7 @@
 
     void timed_out(int index, const Statement& statement) {
         Gateway& here = gateway(index);
-        if (here.life != statement.gateway) return;
+        if (here.incarnation != statement.gateway) return;
         const auto found = here.calls.extract({statement.tenant, statement.sequence});
         if (!found) return;
         here.breaker.failed(agenda_.now());
@@ -215,7 +216,7 @@
     CountHolder holder_;
     std::vector<Gateway> gateways_;
     std::vector<std::discrete_distribution<>> weights_;
-    GatewayIncarnation lives_ = 0;
+    GatewayIncarnation incarnations_ = 0;
     ScheduleResult result_;
 };
 
--- a/tests/quota/schedule_table.cpp
+++ b/tests/quota/schedule_table.cpp
@@ -11,12 +11,13 @@
     const double span = std::chrono::duration<double>(rules.span).count();
     const double bucket = std::max(1.0, limit / plan.gateways);
     const double cut = static_cast<double>(plan.cut_gateways.size());
-    // What those cut off let in by themselves, then a window's limit when they are back.
+    // What the gateways that are cut off admit on their own, and a window's limit when they are connected
+    // again.
     double beyond = cut * (bucket + quota.rate_per_s / plan.gateways * span);
     if (cut > 0) beyond += limit;
-    // Until everybody has stated its count again.
+    // Until all gateways have stated their counts again.
     beyond += limit * static_cast<double>(plan.holder_restarts.size() + plan.silent.size());
-    // A bucket that starts full counts only where the holder can't be asked.
+    // Buckets that start full matter only where the holder is unreachable.
     const bool unreachable = cut > 0 || !plan.silent.empty();
     if (unreachable) beyond += bucket * static_cast<double>(plan.gateway_restarts.size());
     return std::max(allowed(quota), bound_used * allowed(quota) + beyond);
--- a/tests/quota/schedule_table.h
+++ b/tests/quota/schedule_table.h
@@ -1,4 +1,4 @@
-// The table of many schedules, for results/.
+// The table of the results of many schedules, for results/.
 #pragma once
 
 #include <map>
@@ -8,14 +8,14 @@
 
 namespace dewweir::quota::testing {
 
-// The most that may be admitted in a span of the rules under a plan: the rules' bound, or more for what
-// befalls (derived in docs/limits-over-all-gateways.md).
+// The most requests that may be admitted in a span of the rules under a plan: the rules' bound, or more where
+// the plan has faults (derived in docs/limits-over-all-gateways.md).
 double derived_bound(const Plan& plan, const Quota& quota);
 
 // Of one tenant in one schedule.
 struct Measured {
-    double of_rule = 0;     // the most in a span, as a share of what the rules allow
-    double of_derived = 0;  // as a share of derived_bound
+    double of_rule = 0;     // the most in a span, as a fraction of what the rules allow
+    double of_derived = 0;  // likewise, of derived_bound
 };
 Measured measure(const ScheduleResult& result, std::size_t tenant);
 
--- a/tests/quota/schedules.cpp
+++ b/tests/quota/schedules.cpp
@@ -1,5 +1,5 @@
-// Random schedules of quotas over all gateways. DEWWEIR_SCHEDULES sets how many (300 unless told otherwise);
-// DEWWEIR_SCHEDULES_TABLE names a file for their table.
+// Random schedules of quotas over all gateways. DEWWEIR_SCHEDULES sets how many are played (300 by default);
+// DEWWEIR_SCHEDULES_TABLE names a file for the table of their results.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
@@ -8,7 +8,7 @@
 namespace dewweir::quota::testing {
 namespace {
 
-// Of all requests of tenants that ask well inside their quotas.
+// Fraction of the requests of tenants that stay well inside their quotas.
 constexpr double most_wrongly_refused = 0.002;
 
 std::uint64_t wanted_schedules() {
@@ -16,7 +16,7 @@
     return text ? std::strtoull(text, nullptr, 10) : 300;
 }
 
-// Kinds whose derived bound is the rules' own: one holder that answers, and no gateway cut off from it.
+// Kinds whose derived bound is that of the rules: the holder answers, and no gateway is cut off from it.
 bool keeps_the_rule(Kind kind) { return kind == Kind::calm || kind == Kind::gateway_restart; }
 
 bool some_schedule_breaks(Sabotage sabotage) {
@@ -47,7 +47,7 @@
     table.write(path, "DEWWEIR_SCHEDULES=" + schedules + " quota_tests 'no schedule*'", wanted_schedules());
 }
 
-TEST_CASE("what a gateway lets in while its breaker is open is told: these once passed the rule") {
+TEST_CASE("requests admitted while a breaker is open are stated: these seeds once broke the rule") {
     for (const std::uint64_t seed : {157, 2140, 5738, 7009, 8893}) {
         const ScheduleResult result = play(draw_plan(seed), seed);
         for (std::size_t tenant = 0; tenant < result.tenants.size(); ++tenant) {
@@ -57,7 +57,7 @@
     }
 }
 
-TEST_CASE("a tenant well inside its quota is hardly ever refused") {
+TEST_CASE("a tenant well inside its quota is almost never refused") {
     std::size_t asked = 0;
     std::size_t refused = 0;
     for (std::uint64_t seed = 0; seed < wanted_schedules(); ++seed) {
@@ -71,7 +71,7 @@
     CHECK(static_cast<double>(refused) <= most_wrongly_refused * static_cast<double>(asked));
 }
 
-TEST_CASE("a schedule plays the same again") {
+TEST_CASE("a schedule is reproducible") {
     const ScheduleResult once = play(draw_plan(5), 5);
     const ScheduleResult again = play(draw_plan(5), 5);
     REQUIRE(once.tenants.size() == again.tenants.size());
@@ -79,11 +79,11 @@
     CHECK_FALSE(once.tenants[0].admitted.empty());
 }
 
-TEST_CASE("the checker sees local buckets of the whole quota") {
+TEST_CASE("the check detects local buckets of the complete quota") {
     CHECK(some_schedule_breaks(Sabotage::whole_bucket));
 }
 
-TEST_CASE("the checker sees a holder that counts nothing") {
+TEST_CASE("the check detects a holder that counts nothing") {
     CHECK(some_schedule_breaks(Sabotage::never_counted));
 }
 
