--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -1,6 +1,6 @@
-// The adapter: reads batches of the simulator's wire on standard input, calls one Decisions object for each
-// instance, and writes what they do as one reply a batch. The wire's names and codes end in this file;
-// nothing is decided here.
+// The adapter to the simulator: reads batches of events on standard input, calls the Decisions object of each
+// simulated gateway, and writes their actions as one reply per batch. The codes and layouts of the
+// simulator's protocol are known in this file only; nothing is decided here.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -19,7 +19,33 @@
 
 namespace {
 
-// A record, read by the offsets that the wire states; running past its end is an error, never a guess.
+// Codes of the protocol.
+enum EventCode : std::uint16_t {
+    instance_started = 256,
+    host_list = 257,
+    request_received = 258,
+    stream_started = 259,
+    attempt_ended = 260,
+    client_disconnected = 261,
+    timer_expired = 262,
+    probe_answered = 263,
+    peer_message = 264,
+    instance_stopped = 265,
+    counter_replied = 266,
+};
+enum ActionCode : std::uint16_t {
+    start_attempt = 256,
+    refuse_request = 257,
+    fail_request = 258,
+    cancel_attempt = 259,
+    start_timer = 260,
+    write_log = 264,
+    stop_instance = 265,
+    watch_list = 266,
+    call_counter = 268,
+};
+
+// A record, read at the offsets that the protocol gives. Throws errors::BadInput on reading past its end.
 class Record {
   public:
     Record(const char* at, std::size_t size) : at_(at), size_(size) {}
@@ -37,7 +63,7 @@
     }
     Time time(std::size_t offset) const {
         const double ms = get<double>(offset);
-        if (!(std::abs(ms) < 1e14)) throw errors::BadInput("the wire", "a time is no number");
+        if (!(std::abs(ms) < 1e14)) throw errors::BadInput("the wire", "a time is not a number");
         return std::llround(ms * 10);
     }
 
@@ -80,44 +106,54 @@
 
 double ms(Time time) { return static_cast<double>(time) / 10; }
 
-// The actions of one instance, put on the wire as they come.
-class Wire : public Gateway {
+// Writes the actions of one simulated gateway to the reply.
+class SimulatedGateway : public Gateway {
   public:
-    Wire(Reply& reply, std::uint16_t instance) : reply_(reply), i_(instance) {}
-    void start_attempt(std::uint32_t request, std::uint32_t host, Time give_up_after) override {
-        reply_.action(256, 18).put(i_).put(request).put(host).put(ms(give_up_after));
+    SimulatedGateway(Reply& reply, std::uint16_t instance) : reply_(reply), instance_(instance) {}
+    void start_attempt(std::uint32_t request, std::uint32_t host, Time timeout) override {
+        reply_.action(ActionCode::start_attempt, 18).put(instance_).put(request).put(host).put(ms(timeout));
     }
     void refuse(std::uint32_t request, Time retry_after) override {
-        reply_.action(257, 14).put(i_).put(request).put(ms(retry_after));
+        reply_.action(ActionCode::refuse_request, 14).put(instance_).put(request).put(ms(retry_after));
+    }
+    void fail(std::uint32_t request) override {
+        reply_.action(ActionCode::fail_request, 6).put(instance_).put(request);
     }
-    void fail(std::uint32_t request) override { reply_.action(258, 6).put(i_).put(request); }
     void cancel(std::uint32_t request, int attempt) override {
-        reply_.action(259, 8).put(i_).put(request).put<std::uint16_t>(attempt);
+        reply_.action(ActionCode::cancel_attempt, 8).put(instance_).put(request).put<std::uint16_t>(attempt);
     }
     void add_to_counter(std::uint64_t name, double amount, Time keep_for) override {
-        reply_.action(268, 22).put(i_).put(name).put<float>(amount).put(ms(keep_for));
+        reply_.action(ActionCode::call_counter, 22)
+            .put(instance_)
+            .put(name)
+            .put<float>(amount)
+            .put(ms(keep_for));
     }
     void start_timer(Time from_now, std::uint64_t token) override {
-        reply_.action(260, 18).put(i_).put(ms(from_now)).put(token);
+        reply_.action(ActionCode::start_timer, 18).put(instance_).put(ms(from_now)).put(token);
+    }
+    void cancel_timer(std::uint64_t) override {}  // the protocol has no such action
+    void watch_host_list() override {
+        reply_.action(ActionCode::watch_list, 3).put(instance_).put<std::uint8_t>(1);
     }
-    void cancel_timer(std::uint64_t) override {}  // the wire has no such action
-    void watch_host_list() override { reply_.action(266, 3).put(i_).put<std::uint8_t>(1); }
     void log(LogEvent, std::uint32_t, const std::string& line) override {
         const std::string text = line.substr(0, 60000);
-        reply_.action(264, text.size() + 4).put(i_).text(text);
+        reply_.action(ActionCode::write_log, text.size() + 4).put(instance_).text(text);
+    }
+    void report_decisions(const DecisionCounts& counts) override {
+        if (const std::string line = decided_line(counts); !line.empty()) log({}, 0, line);
     }
-    void report_decisions(const DecisionCounts& often) override {
-        if (const std::string line = decided_line(often); !line.empty()) log({}, 0, line);
+    void stop(const std::string& why) {
+        reply_.action(ActionCode::stop_instance, why.size() + 4).put(instance_).text(why);
     }
-    void die(const std::string& why) { reply_.action(265, why.size() + 4).put(i_).text(why); }
 
   private:
     Reply& reply_;
-    std::uint16_t i_;
+    std::uint16_t instance_;
 };
 
 struct Instance {
-    std::unique_ptr<Wire> wire;
+    std::unique_ptr<SimulatedGateway> gateway;
     std::unique_ptr<Decisions> decisions;
 };
 
@@ -135,7 +171,7 @@
     throw errors::BadInput("the wire", "unknown outcome code " + std::to_string(code));
 }
 
-void list_news(Decisions& decisions, const Record& r, Time now) {
+void handle_host_list(Decisions& decisions, const Record& r, Time now) {
     const auto mode = r.get<std::uint8_t>(8);
     if (mode > 3) throw errors::BadInput("the wire", "unknown kind of list " + std::to_string(mode));
     if (mode == 3) return decisions.list_failed(now);
@@ -151,43 +187,45 @@
     decisions.list_ends(now);
 }
 
-void happened(std::map<std::uint16_t, Instance>& instances, Reply& reply, const Record& r, Time now) {
+void handle_event(std::map<std::uint16_t, Instance>& instances, Reply& reply, const Record& r, Time now) {
     const auto code = r.get<std::uint16_t>(0);
-    if (code < 256 || code > 266)
+    if (code < EventCode::instance_started || code > EventCode::counter_replied)
         throw errors::BadInput("the wire", "unknown event code " + std::to_string(code));
-    const auto i = r.get<std::uint16_t>(6);
-    if (code == 256) {
-        Instance& fresh = instances[i];
+    const auto number = r.get<std::uint16_t>(6);
+    if (code == EventCode::instance_started) {
+        Instance& fresh = instances[number];
         fresh.decisions.reset();
-        fresh.wire = std::make_unique<Wire>(reply, i);
+        fresh.gateway = std::make_unique<SimulatedGateway>(reply, number);
         try {
-            fresh.decisions = std::make_unique<Decisions>(*fresh.wire, settings_of_lines(r.text(16)),
+            fresh.decisions = std::make_unique<Decisions>(*fresh.gateway, settings_of_lines(r.text(16)),
                                                           r.get<std::uint64_t>(8), now);
-        } catch (const errors::BadSetting& missing) { fresh.wire->die(missing.what()); }
+        } catch (const errors::BadSetting& fault) { fresh.gateway->stop(fault.what()); }
         return;
     }
-    const auto found = instances.find(i);
-    if (found == instances.end() || !found->second.decisions) return;  // not up, or no longer
+    const auto found = instances.find(number);
+    if (found == instances.end() || !found->second.decisions) return;  // not started, or stopped
     Decisions& decisions = *found->second.decisions;
     switch (code) {
-        case 257: return list_news(decisions, r, now);
-        case 258:
+        case EventCode::host_list: return handle_host_list(decisions, r, now);
+        case EventCode::request_received:
             return decisions.request_received(
                 now, r.get<std::uint32_t>(8), r.get<std::uint16_t>(37), r.get<std::uint32_t>(25),
                 r.get<std::uint64_t>(29), r.get<float>(13),
                 static_cast<int>(std::clamp(r.get<float>(17), 0.0f, 1e6f)), r.time(39));
-        case 259: return decisions.stream_started(now, r.get<std::uint32_t>(8), r.get<std::uint16_t>(12));
-        case 260:
+        case EventCode::stream_started:
+            return decisions.stream_started(now, r.get<std::uint32_t>(8), r.get<std::uint16_t>(12));
+        case EventCode::attempt_ended:
             return decisions.attempt_ended(now, r.get<std::uint32_t>(8), r.get<std::uint16_t>(30),
                                            r.get<std::uint32_t>(26), outcome_of(r.get<std::uint8_t>(25)),
                                            r.time(15), r.get<std::uint8_t>(14) != 0,
                                            r.get<std::uint16_t>(23));
-        case 261: return decisions.client_disconnected(now, r.get<std::uint32_t>(8));
-        case 262: return decisions.timer_expired(now, r.get<std::uint64_t>(8));
-        case 263: return;  // no probe is sent
-        case 264: return;  // gateways learn of each other by the counter alone
-        case 265: instances.erase(found); return;
-        case 266:
+        case EventCode::client_disconnected:
+            return decisions.client_disconnected(now, r.get<std::uint32_t>(8));
+        case EventCode::timer_expired: return decisions.timer_expired(now, r.get<std::uint64_t>(8));
+        case EventCode::probe_answered: return;  // no probe requests are sent
+        case EventCode::peer_message: return;    // simulated gateways share the counter only
+        case EventCode::instance_stopped: instances.erase(found); return;
+        case EventCode::counter_replied:
             return decisions.counter_replied(now, r.get<std::uint64_t>(8),
                                              outcome_of(r.get<std::uint8_t>(28)), r.get<float>(24),
                                              r.time(16));
@@ -219,7 +257,7 @@
             const std::size_t left = body.size() - at;
             const auto size = Record(body.data() + at, left).get<std::uint32_t>(2);
             if (size > left - 6) throw errors::BadInput("the wire", "a record runs past its batch");
-            happened(instances, reply, Record(body.data() + at, size + 6), now);
+            handle_event(instances, reply, Record(body.data() + at, size + 6), now);
             at += size + 6;
         }
         if (at != body.size()) throw errors::BadInput("the wire", "a batch is longer than its records");
--- a/src/decided.h
+++ b/src/decided.h
@@ -1,4 +1,4 @@
-// The words for what the decision module decided, as the log's line that counts them has them.
+// The log line that counts what the decision module decided.
 #pragma once
 
 #include <string>
@@ -7,8 +7,10 @@
 
 namespace dewweir {
 
-const char* word_for(Decision decision);
-// `decided: counted in 5, late 1`; empty where nothing was.
-std::string decided_line(const DecisionCounts& often);
+// The decision as it is written in the line; tools read these texts.
+const char* log_name(Decision decision);
+
+// For example "decided: counted in 5, late 1"; empty if all counts are 0.
+std::string decided_line(const DecisionCounts& counts);
 
 }  // namespace dewweir
--- a/src/setting_names.cpp
+++ b/src/setting_names.cpp
@@ -1,4 +1,4 @@
-// Our words for the settings of the wire; the table is the only place where the two meet.
+// The table of external and internal names is the only place that has both.
 #include "setting_names.h"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 namespace dewweir {
 namespace {
 
-const std::map<std::string, std::string>& words() {
+// Internal name by external name.
+const std::map<std::string, std::string>& name_table() {
     static const std::map<std::string, std::string> all = {
         {"profiles", "tracks"},
         {"goalTime", "latency_goal"},
@@ -55,40 +56,42 @@
     return all;
 }
 
-std::string our_words(const std::string& wire_words, char between) {
-    std::string ours;
-    for (std::size_t from = 0; from <= wire_words.size();) {
-        const std::size_t to = std::min(wire_words.find(between, from), wire_words.size());
-        const std::string word = wire_words.substr(from, to - from);
-        const auto known = words().find(word);
-        ours += (from ? std::string(1, between) : "") + (known == words().end() ? word : known->second);
+// Translates each name of a list that this character separates.
+std::string internal_names(const std::string& external, char separator) {
+    std::string internal;
+    for (std::size_t from = 0; from <= external.size();) {
+        const std::size_t to = std::min(external.find(separator, from), external.size());
+        const std::string name = external.substr(from, to - from);
+        const auto known = name_table().find(name);
+        internal +=
+            (from ? std::string(1, separator) : "") + (known == name_table().end() ? name : known->second);
         from = to + 1;
     }
-    return ours;
+    return internal;
 }
 
 }  // namespace
 
 void put_setting(Settings& settings, const std::string& path, const std::string& value) {
-    // What operators have named is theirs: a plan may well be called `worth`.
-    const bool named = path.size() > 5 && path.compare(path.size() - 5, 5, ".name") == 0;
-    settings[our_words(path, '.')] = named ? value : our_words(value, ',');
+    // Names that operators have given stay as they are: a plan may well be called `worth`.
+    const bool is_name = path.size() > 5 && path.compare(path.size() - 5, 5, ".name") == 0;
+    settings[internal_names(path, '.')] = is_name ? value : internal_names(value, ',');
 }
 
-std::string operator_name(const std::string& ours) {
-    std::string theirs;
-    for (std::size_t from = 0; from <= ours.size();) {
-        const std::size_t to = std::min(ours.find('.', from), ours.size());
-        std::string word = ours.substr(from, to - from);
-        for (const auto& [wire, our] : words())
-            if (our == word) {
-                word = wire;
+std::string operator_name(const std::string& internal_name) {
+    std::string external;
+    for (std::size_t from = 0; from <= internal_name.size();) {
+        const std::size_t to = std::min(internal_name.find('.', from), internal_name.size());
+        std::string part = internal_name.substr(from, to - from);
+        for (const auto& [name, internal] : name_table())
+            if (internal == part) {
+                part = name;
                 break;
             }
-        theirs += (from ? "." : "") + word;
+        external += (from ? "." : "") + part;
         from = to + 1;
     }
-    return theirs;
+    return external;
 }
 
 Settings settings_of_lines(const std::string& lines) {
--- a/src/setting_names.h
+++ b/src/setting_names.h
@@ -1,6 +1,6 @@
-// Turns the names of the settings object, as operators and simulator write them, into our words. Both
-// programs read their settings through it. It must never judge a value: the module reads what it needs, where
-// it needs it.
+// Translates the names of settings, as operators and the simulator write them, into the names that the
+// program uses. Both programs read their settings through it. Values are only translated, not checked: the
+// module that reads a setting does that.
 #pragma once
 
 #include <string>
@@ -9,12 +9,12 @@
 
 namespace dewweir {
 
-// Puts one setting, named by its path ("profiles.0.goalTime"), under our name for it
-// ("tracks.0.latency_goal").
+// Stores one setting, given by its external path ("profiles.0.goalTime"), under its internal name
+// ("tracks.0.latency_goal"). Names that the table does not have stay as they are.
 void put_setting(Settings& settings, const std::string& path, const std::string& value);
-// The same for lines of path=value.
+// Reads lines of path=value; other lines are skipped.
 Settings settings_of_lines(const std::string& lines);
-// The operators' path for a name of ours, for messages to them.
-std::string operator_name(const std::string& ours);
+// The external path of an internal name, for messages to operators.
+std::string operator_name(const std::string& internal_name);
 
 }  // namespace dewweir
--- a/tests/run.cpp
+++ b/tests/run.cpp
@@ -1,5 +1,6 @@
-// Plays every scenario of tests/scenarios/. A scenario is lines of: what is read at start, what happens, what
-// must be seen. `wait` lets time pass and timers fire; the counter answers by itself as told by `counter`.
+// Plays every scenario of tests/scenarios/. Its lines change settings, report events to the decisions, or
+// check the actions taken. `wait` lets time pass and timers expire; the counter answers in the way `counter`
+// sets.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <malloc.h>
@@ -22,18 +23,18 @@
 
 namespace {
 
-const char* usual_settings =
+const char* default_settings =
     R"(step=1 gateways=2 zone=0 discovery=push limits.executions=3 limits.cancel=true limits.advice=true
 limits.longest_advice=1000 service.counter=true service.count_limit=50 service.largest=1 rules.fall=2000 rules.fall_multiple=3
 rules.cold_from=0.2 rules.warm_after=15000 rules.ask_within=10000 tracks.count=1 tracks.0.latency_goal=1000
 tracks.0.time_limit=4000 tracks.0.remembered=5000 tracks.0.repeats=retriable tracks.0.scope=all tracks.0.late_value=0.2
 plans.count=1 plans.0.rate=5 plans.0.burst=10 plans.0.extra_benefit=0 plans.0.overrun_cost=0.5)";
 
-double value(std::istringstream& line, const std::string& name, double otherwise) {
+double value(std::istringstream& line, const std::string& name, double fallback) {
     std::istringstream copy(line.str());
     for (std::string word; copy >> word;)
         if (word.rfind(name + "=", 0) == 0) return std::stod(word.substr(name.size() + 1));
-    return otherwise;
+    return fallback;
 }
 
 void read_settings(Settings& settings, std::istream& words) {
@@ -52,7 +53,7 @@
     std::uint64_t seed = 1;
 
     Play() {
-        std::istringstream words(usual_settings);
+        std::istringstream words(default_settings);
         read_settings(settings, words);
     }
 
@@ -70,10 +71,10 @@
             stage.asked.erase(stage.asked.begin());
             if (amount == 0) stage.counts.try_emplace(name, earlier);
             if (counter != "full") stage.counts[name] += amount;
-            const AttemptOutcome said = counter == "answers" ? AttemptOutcome::ok
-                                        : counter == "full"  ? AttemptOutcome::overloaded
-                                                             : AttemptOutcome::broken;
-            decisions->counter_replied(stage.now, name, said, stage.counts[name], 20);
+            const AttemptOutcome answer = counter == "answers" ? AttemptOutcome::ok
+                                          : counter == "full"  ? AttemptOutcome::overloaded
+                                                               : AttemptOutcome::broken;
+            decisions->counter_replied(stage.now, name, answer, stage.counts[name], 20);
         }
     }
 
@@ -89,7 +90,8 @@
         stage.now = until;
     }
 
-    void feed(const std::string& hex, const std::string& said) {
+    // Feeds bytes to the simulator's adapter; `error`: what it must report, empty if it must accept them.
+    void feed(const std::string& hex, const std::string& error) {
         std::string bytes, out;
         for (std::size_t n = 0; n + 1 < hex.size(); n += 2) bytes += "\\x" + hex.substr(n, 2);
         FILE* pipe = popen(("bash -c \"printf '" + bytes + "'\" | " SIMHOST " 2>&1 >/dev/null").c_str(), "r");
@@ -98,8 +100,8 @@
         while (std::fgets(text, sizeof text, pipe)) out += text;
         const int status = pclose(pipe);
         CHECK(WIFEXITED(status));
-        CHECK((WEXITSTATUS(status) == 0) == said.empty());
-        CHECK_MESSAGE(out.find(said) != std::string::npos, "said: " << out);
+        CHECK((WEXITSTATUS(status) == 0) == error.empty());
+        CHECK_MESSAGE(out.find(error) != std::string::npos, "reported: " << out);
     }
 
     void happen(const std::string& text) {
@@ -113,11 +115,11 @@
             settings.erase(word);
             return;
         }
-        if (word == "feed") {  // bytes for the adapter, and what it must say as it refuses them
-            std::string hex, said;
+        if (word == "feed") {  // feed HEX [ERROR]
+            std::string hex, error;
             line >> hex >> std::ws;
-            std::getline(line, said);
-            return feed(hex, said);
+            std::getline(line, error);
+            return feed(hex, error);
         }
         if (word == "fault") {
             line >> word;
@@ -130,22 +132,22 @@
             return;
         }
         if (!decisions) decisions = std::make_unique<Decisions>(stage, settings, seed, stage.now);
-        if (word == "counter") {  // answers, silent, full, spoilt; forgets: answers, with all names gone
+        if (word == "counter") {  // answers, silent, full, spoilt; forgets: answers, having lost its data
             line >> counter;
             if (counter == "forgets") stage.counts.clear(), counter = "answers";
             return answer_counts();
         }
-        if (word == "earlier") {  // what others used in a window that is read and was never added to
+        if (word == "earlier") {  // total of a window that is read before anything was added to it
             line >> earlier;
             return;
         }
-        if (word == "others") {  // other gateways add to every name there is
+        if (word == "others") {  // other gateways add so much to every counter
             double amount;
             line >> amount;
             for (auto& [name, total] : stage.counts) total += amount;
             return;
         }
-        if (word == "hosts" || word == "news") {  // hosts: the whole list; news: a change to it
+        if (word == "hosts" || word == "news") {  // hosts: a complete list; news: an update
             decisions->list_begins(stage.now, word == "hosts");
             std::uint32_t id;
             while (line >> id >> word)
@@ -156,13 +158,13 @@
                                        word == "young" ? stage.now : 0, id % 10, id);
             return decisions->list_ends(stage.now);
         }
-        if (word == "heard_total") {  // two others were told so much of every name there was
+        if (word == "heard_total") {  // two other gateways were told this total of every counter
             double total;
             line >> total;
             for (const auto& [name, counted] : stage.counts) stage.others[name] = total;
             return;
         }
-        // heard ID [doubt=] [found=1] [for=ms] [draining=1] [young=1] [ahead=1]: what others found
+        // heard ID [doubt=] [found=1] [for=ms] [draining=1] [young=1] [ahead=1]: a report of other gateways
         if (word == "heard") {
             std::uint32_t id;
             line >> id;
@@ -176,7 +178,7 @@
                  .draining = value(line, "draining", 0) > 0,
                  .up_since = young ? stage.now + ahead : 0});
         }
-        if (word == "fleet") {  // so many hosts that no line forms
+        if (word == "fleet") {  // so many hosts that no queue forms
             decisions->list_begins(stage.now, true);
             for (std::uint32_t id = 1; id <= 20; ++id)
                 decisions->host_listed(stage.now, id, HostState::ready, 0, 0, 0);
@@ -219,7 +221,7 @@
             CHECK_MESSAGE((hosts.size() >= least && hosts.size() <= most), hosts.size() << " hosts");
             return;
         }
-        if (word == "advice") {  // of the last bounce, in ms
+        if (word == "advice") {  // Retry-After of the last refusal, in ms
             double least, most;
             line >> least >> most;
             CHECK_MESSAGE((stage.last_advice >= least * 10 && stage.last_advice <= most * 10),
@@ -227,7 +229,7 @@
             return;
         }
         if (word == "forget") return stage.seen.clear();
-        if (word == "memory") {  // memory ID: remembers what is in use; memory ID KB: is not that much more
+        if (word == "memory") {  // memory ID: notes the memory in use; memory ID KB: it has grown by less
             double most;
             line >> word;
             stage.runs.clear(), stage.on.clear(), stage.seen.shrink_to_fit();
@@ -237,7 +239,7 @@
             else memory[word] = in_use;
             return;
         }
-        if (word == "alarms") {  // how many stand
+        if (word == "alarms") {  // how many timers are running
             std::size_t n;
             line >> n;
             CHECK(stage.timers.size() == n);
@@ -246,8 +248,8 @@
         if (word == "follow_failed") return decisions->list_failed(stage.now);
         std::uint32_t id;
         line >> id;
-        // serve ID VERDICT [upto=ID] ...: each submitted, at its customer's only gateway if not told
-        // otherwise, and ended, by turns
+        // serve ID OUTCOME [upto=ID] ...: submits and ends each request in turn; one gateway shares the
+        // tenant's quota unless `gateways=` says otherwise
         if (word == "serve") {
             std::string outcome, how;
             const std::uint32_t last = value(line, "upto", id);
@@ -271,7 +273,7 @@
                 answer_counts();
                 wait(std::llround(value(line, "every", 0) * 10));
             }
-        else if (word == "end") {  // end ID VERDICT [host=ID] [took=ms] [upto=ID] [settled=1] [billed=]
+        else if (word == "end") {  // end ID OUTCOME [host=ID] [took=ms] [upto=ID] [settled=1] [billed=]
             line >> word;
             for (std::uint32_t last = value(line, "upto", id); id <= last; ++id) {
                 decisions->attempt_ended(stage.now, id, stage.runs[id] - 1, value(line, "host", stage.on[id]),
@@ -289,12 +291,12 @@
     }
 };
 
-// The fourth rule is about all gateways together: what they send a fresh host, each by its own chance, adds
-// up.
-TEST_CASE("a hundred gateways together give a fresh host its part, no more and not nothing") {
-    constexpr int gateways = 100, steps = 100, window = 20;  // steps of 100 ms; a window is one fall
+// Slow start limits what all gateways together send a cold host, while each decides for itself at random: the
+// sum must stay under the limit, and the host must not be starved.
+TEST_CASE("a hundred gateways together send a cold host its fraction: not more, and not nothing") {
+    constexpr int gateways = 100, steps = 100, window = 20;  // steps of 100 ms; rules.fall is 20 of them
     std::vector<Play> plays(gateways);
-    std::vector<int> fresh(steps), all(steps);
+    std::vector<int> cold(steps), all(steps);
     for (int g = 0; g < gateways; ++g) {
         Play& play = plays[g];
         play.seed = 1 + g;
@@ -305,7 +307,7 @@
             play.happen("serve " + std::to_string(step + 1) + " ok customer=0");
             for (const std::string& one : play.stage.seen) {
                 all[step] += one.rfind("execute", 0) == 0;
-                fresh[step] += one.ends_with(" on 21");
+                cold[step] += one.ends_with(" on 21");
             }
             play.stage.seen.clear();
             play.happen("wait 100");
@@ -314,20 +316,20 @@
     for (int from = steps / 2; from + window <= steps; ++from) {
         double sent = 0, warm_host = 0, part = 0;
         for (int step = from; step < from + window; ++step) {
-            sent += fresh[step], warm_host += all[step] / 20.0;
+            sent += cold[step], warm_host += all[step] / 20.0;
             part += (0.2 + 0.8 * (step - steps / 2) / 150) / window;
         }
-        INFO(from << ": " << sent << " sent, a warm host has " << warm_host << ", its part is " << part);
+        INFO(from << ": " << sent << " sent, a warm host has " << warm_host << ", its fraction is " << part);
         CHECK(sent < 3 * part * warm_host * 0.75);  // the fall multiple, with a quarter to spare
         CHECK(sent > part * warm_host * 0.3);
     }
 }
 
-// Plays a fleet that asks one discovery for the list, from one moment on, and says how many have been
-// answered at each whole second. Each whose call is refused asks again when its decision module says so.
+// Plays gateways that all ask one discovery for the host list from the same moment on, and again when their
+// decisions say so. Returns how many have been answered after each second.
 std::vector<int> answered_a_second(int gateways, int seconds, model::List list) {
     std::vector<Play> plays(gateways);
-    std::multimap<Time, std::pair<int, bool>> due;  // whose call is answered then, and whether with the list
+    std::multimap<Time, std::pair<int, bool>> due;  // answers by time: gateway, whether it has the list
     std::vector<bool> has(gateways);
     for (int g = 0; g < gateways; ++g) {
         plays[g].seed = 1 + g;
@@ -357,17 +359,17 @@
     return answered;
 }
 
-// Twenty calls a second at discovery: a hundred gateways need five seconds in any case, and half of
-// ask_within is five. Asking again after a second or two each, they got no answer at all but the first 40.
-TEST_CASE("a hundred gateways that lose their watch at once get their list from a discovery soon") {
+// Guards against retries that are too frequent: every second or two, only the first 40 calls were answered.
+// The discovery serves twenty calls a second, so a hundred gateways need five seconds, half of ask_within.
+TEST_CASE("a hundred gateways that lose their watch at once soon get their list from one discovery") {
     const model::List slow({.each = 500, .patience = 20000, .line = 1000});
     const std::vector<int> answered = answered_a_second(100, 12, slow);
-    CHECK(answered[2] >= 25);  // no second is lost: 20 can be answered in each
+    CHECK(answered[2] >= 25);  // the discovery is never idle: it can answer 20 a second
     CHECK(answered[6] >= 85);  // half of ask_within, and the longest wait for an answer
     CHECK(answered[11] == 100);
     const std::vector<int> few = answered_a_second(3, 2, slow);
-    CHECK(few[0] == 3);  // nobody to wait for
-    // Five calls a second, and a line of ten: most calls are refused at once, and each refusal costs time.
+    CHECK(few[0] == 3);  // few gateways need not wait
+    // Five calls a second and a queue of ten: most calls are refused at once, and each refusal takes time.
     const std::vector<int> crowded = answered_a_second(100, 40, model::List({2000, 20000, 10}));
     CHECK(crowded[39] >= 50);
 }
--- a/tests/scenario_stage.h
+++ b/tests/scenario_stage.h
@@ -1,4 +1,4 @@
-// The Gateway of the text scenarios: does nothing but write down what it is asked for.
+// The Gateway of the text scenarios: records the actions that it is asked for, and does none of them.
 #pragma once
 
 #include <map>
@@ -18,7 +18,7 @@
     std::map<std::uint32_t, int> runs, on;
     std::vector<std::string> seen;
     Time last_advice = 0;
-    std::map<std::uint64_t, double> others;  // what others were told of each name
+    std::map<std::uint64_t, double> others;  // corroborated total of each counter name
 
     void saw(const std::string& what, std::uint32_t id) { seen.push_back(what + " " + std::to_string(id)); }
     void start_attempt(std::uint32_t id, std::uint32_t host, Time) override {
