--- a/src/gateway/proxy.cpp
+++ b/src/gateway/proxy.cpp
@@ -48,7 +48,7 @@
     switch (result.outcome) {
         case AttemptOutcome::answered:
             return result.response.status < 500 ? PolicyOutcome::ok : PolicyOutcome::error;
-        case AttemptOutcome::not_executed: return PolicyOutcome::full;
+        case AttemptOutcome::not_executed: return PolicyOutcome::overloaded;
         case AttemptOutcome::misdirected:
         case AttemptOutcome::connect_failed: return PolicyOutcome::connect_failed;
         case AttemptOutcome::broken: return PolicyOutcome::broken;
@@ -266,7 +266,7 @@
     if (!request || !request->attempt) return;
     upstreams_.abandon(std::exchange(request->attempt, 0));
     request->may_have_reached_host = true;
-    report_attempt_end(id, *request, PolicyOutcome::called_off);
+    report_attempt_end(id, *request, PolicyOutcome::cancelled);
 }
 
 // Informs the pool in the next turn of the event loop, since this may be called from within its decision.
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -53,10 +53,10 @@
     const quota::TimePoint now = loop_.steady_now();
     const bool reachable = holder && (holder->node == self_ || holders_[holder->node].breaker.allows(now));
     const quota::Decision decision = admission_.request(now, tenant, quota, placement_.gateways(), reachable);
-    if (decision.result != quota::Admitted::asked) deliver(on_result, decision);
+    if (decision.result != quota::Admitted::pending) deliver(on_result, decision);
     if (!decision.statement || !holder) return;
     if (!decision.wants_answer) return send_statement(*holder, *decision.statement, false);
-    const bool request_waits = decision.result == quota::Admitted::asked;
+    const bool request_waits = decision.result == quota::Admitted::pending;
     ask_holder(*holder, *decision.statement, request_waits ? std::move(on_result) : ResultCallback());
 }
 
@@ -155,8 +155,8 @@
 void QuotaClient::remove_idle() {
     if (loop_.now() - idle_removed_at_ < idle_removal_interval) return;
     idle_removed_at_ = loop_.now();
-    held_.forget_idle(loop_.steady_now());
-    admission_.forget_idle(loop_.steady_now());
+    held_.drop_idle(loop_.steady_now());
+    admission_.drop_idle(loop_.steady_now());
 }
 
 }  // namespace dewweir::gateway
--- a/src/gateway/quota_client.h
+++ b/src/gateway/quota_client.h
@@ -65,7 +65,7 @@
 
     runtime::EventLoop& loop_;
     std::string self_;
-    quota::GatewayLife incarnation_;
+    quota::GatewayIncarnation incarnation_;
     transport::Datagrams datagrams_;
     quota::CountHolder held_;  // counts that this gateway holds for all
     quota::Admission admission_;
--- a/src/gateway/service_pool.cpp
+++ b/src/gateway/service_pool.cpp
@@ -102,29 +102,31 @@
     decisions_->attempt_ended(loop_.now(), request, 0, endpoint, outcome, took, request_done, 0);
 }
 
-void ServicePool::client_disconnected(RequestId request) { decisions_->client_gone(loop_.now(), request); }
+void ServicePool::client_disconnected(RequestId request) {
+    decisions_->client_disconnected(loop_.now(), request);
+}
 
 void ServicePool::start_attempt(std::uint32_t request, std::uint32_t host, Time give_up_after) {
     actions_.send_attempt(request, host, give_up_after);
 }
 
-void ServicePool::refuse(std::uint32_t request, Time come_back_in) {
-    actions_.refuse_request(request, come_back_in);
+void ServicePool::refuse(std::uint32_t request, Time retry_after) {
+    actions_.refuse_request(request, retry_after);
 }
 
 void ServicePool::fail(std::uint32_t request) { actions_.fail_request(request); }
 
 void ServicePool::cancel(std::uint32_t request, int) { actions_.cancel_attempt(request); }
 
-void ServicePool::arm(Time from_now, std::uint64_t token) {
+void ServicePool::start_timer(Time from_now, std::uint64_t token) {
     const net::Deadlines::Key key = loop_.deadlines().after(from_now, [this, token] {
         timers_.erase(timers_.find(token));
-        decisions_->timer(loop_.now(), token);
+        decisions_->timer_expired(loop_.now(), token);
     });
     timers_.emplace(token, key);
 }
 
-void ServicePool::disarm(std::uint64_t token) {
+void ServicePool::cancel_timer(std::uint64_t token) {
     const auto found = timers_.find(token);
     if (found == timers_.end()) return;
     loop_.deadlines().drop(found->second);
@@ -137,8 +139,8 @@
     switch (what) {
         case LogEvent::breaker_open: event = Event::breaker_opened; break;
         case LogEvent::breaker_closed: event = Event::breaker_closed; break;
-        case LogEvent::host_shut: event = Event::endpoint_ejected; break;
-        case LogEvent::host_back: event = Event::endpoint_restored; break;
+        case LogEvent::host_ejected: event = Event::endpoint_ejected; break;
+        case LogEvent::host_restored: event = Event::endpoint_restored; break;
     }
     logging::log(
         logging::Level::info, event,
--- a/src/limits/bounds.cpp
+++ b/src/limits/bounds.cpp
@@ -4,16 +4,17 @@
 
 namespace dewweir::limits {
 
-Bounds quota_bounds(double rate, double burst, int gateways) {
-    constexpr double a_minute = 60;
-    Bounds b;
-    // A part under a unit holds one, so that there is something to let in by chance.
-    b.part = std::max(burst / gateways, 1.0);
-    b.a_restart = b.part;
-    // What was let in just before is not known to all of the parts; nor, just after, what parts have let in.
-    b.an_event = b.part * gateways;
-    b.of_a_minute = b.an_event / (rate * a_minute);
-    b.moves = burst >= gateways;
+QuotaBounds quota_bounds(double rate, double burst, int gateways) {
+    constexpr double seconds_per_minute = 60;
+    QuotaBounds b;
+    // A share under a unit holds one, so that there is something to admit requests by chance with.
+    b.share = std::max(burst / gateways, 1.0);
+    b.restart_excess = b.share;
+    // Not all shares know what was admitted just before the event, nor what the shares admitted just after
+    // it.
+    b.event_excess = b.share * gateways;
+    b.event_excess_of_minute = b.event_excess / (rate * seconds_per_minute);
+    b.lendable = burst >= gateways;
     return b;
 }
 
