--- a/src/control_plane/raft_log.cpp
+++ b/src/control_plane/raft_log.cpp
@@ -79,7 +79,7 @@
     consensus::Membership membership;
     for (const std::string& address : options_.seeds)
         membership.voters.push_back({bootstrap_identity(address), address});
-    membership.wanted_voters = static_cast<std::uint32_t>(membership.voters.size());
+    membership.target_voter_count = static_cast<std::uint32_t>(membership.voters.size());
     return membership;
 }
 
