--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -83,6 +83,7 @@
 Index reached_by_majority(const std::vector<Replica>& voters,
                           const std::function<Index(ReplicaId)>& reached) {
     std::vector<Index> indexes;
+    indexes.reserve(voters.size());
     for (const Replica& voter : voters) indexes.push_back(reached(voter.id));
     if (indexes.empty()) return 0;
     std::sort(indexes.begin(), indexes.end());
--- a/src/consensus/membership_policy.cpp
+++ b/src/consensus/membership_policy.cpp
@@ -30,7 +30,7 @@
             const bool ready =
                 state && state->caught_up && state->time_since_contact < group_.liveness_timeout;
             if (!ready) continue;
-            if (const auto change = promotion_change(learner)) return change;
+            if (auto change = promotion_change(learner)) return change;
         }
         return surplus_change();
     }
