--- a/src/cli/members.cpp
+++ b/src/cli/members.cpp
@@ -124,13 +124,14 @@
     }
     if (!o.network.members)
         throw errors::BadCall(o.file, "it does not say how many members there are", "add --members N");
-    const members::MembersTerms terms = peers::terms_of(read_operator_file(with).members);
+    const members::MembersOptions options = peers::members_options_of(read_operator_file(with).members);
     o.network.delay = std::llround(o.delay_ms * 10);
-    const members::Bounds b = members::bounds_of(terms, o.network, o.probability);
+    const members::Bounds b = members::bounds_of(options, o.network, o.probability);
     // A word's age grows where it is kept, not on its way: so much more at each hop.
-    const verdicts::WordTerms words;
+    const verdicts::ObservationOptions observations;
     const Time on_ways = b.rounds * o.network.delay;
-    const Time orphan = words.life + on_ways, oldest = words.evidence + orphan;
+    const Time orphan = observations.time_to_live + on_ways,
+               oldest = observations.max_observation_age + orphan;
     if (o.json) {
         json quotas = json::array();
         for (const PlanBounds& one : plans)
--- a/src/limits/rights.cpp
+++ b/src/limits/rights.cpp
@@ -10,8 +10,8 @@
 namespace dewweir::limits {
 namespace {
 
-using members::take;
-using members::Word;
+using members::GossipItem;
+using members::read_field;
 using nlohmann::json;
 
 const std::string about = "right/", about_want = about + "want/", about_loan = about + "loan/";
@@ -25,19 +25,20 @@
 }
 
 bool take_amount(const json& from, const char* name, double& into) {
-    return take(from, name, into) && into >= 0 && into < most_units;
+    return read_field(from, name, into) && into >= 0 && into < most_units;
 }
 
-bool read(const Word& word, LoanRequest& into) {
-    const json told = members::carried_by(word);
+bool read(const GossipItem& word, LoanRequest& into) {
+    const json told = members::decode_payload(word);
     std::uint64_t plan = 0, gateways = 0;
-    if (!told.is_object() || !take(told, "o", into.by) || !take(told, "c", into.share.tenant) ||
-        !take(told, "p", plan) || !take(told, "g", gateways) || !take_amount(told, "r", into.share.rate) ||
-        !take_amount(told, "b", into.share.burst) || !take_amount(told, "u", into.units))
+    if (!told.is_object() || !read_field(told, "o", into.by) || !read_field(told, "c", into.share.tenant) ||
+        !read_field(told, "p", plan) || !read_field(told, "g", gateways) ||
+        !take_amount(told, "r", into.share.rate) || !take_amount(told, "b", into.share.burst) ||
+        !take_amount(told, "u", into.units))
         return false;
     into.share.plan = static_cast<int>(std::min<std::uint64_t>(plan, 1 << 20));
     into.share.gateways = static_cast<int>(std::clamp<std::uint64_t>(gateways, 1, 1 << 20));
-    into.rank = word.rank;
+    into.rank = word.sequence;
     return into.units > 0 && word.key == key_of_want(into.by, into.share.tenant);
 }
 
@@ -46,15 +47,15 @@
     std::string by, to;
     std::uint64_t want = 0;  // its rank
 };
-bool read(const Word& word, LoanWord& into) {
-    const json told = members::carried_by(word);
+bool read(const GossipItem& word, LoanWord& into) {
+    const json told = members::decode_payload(word);
     std::uint64_t until = 0;
-    if (!told.is_object() || !take(told, "o", into.by) || !take(told, "t", into.to) ||
-        !take(told, "w", into.want) || !take(told, "c", into.loan.tenant) ||
-        !take_amount(told, "u", into.loan.units) || !take(told, "e", until))
+    if (!told.is_object() || !read_field(told, "o", into.by) || !read_field(told, "t", into.to) ||
+        !read_field(told, "w", into.want) || !read_field(told, "c", into.loan.tenant) ||
+        !take_amount(told, "u", into.loan.units) || !read_field(told, "e", until))
         return false;
     into.loan.expires_at = static_cast<Time>(until);
-    return into.loan.units > 0 && word.key == key_of_loan(into.by, word.rank);
+    return into.loan.units > 0 && word.key == key_of_loan(into.by, word.sequence);
 }
 
 }  // namespace
@@ -63,7 +64,7 @@
                            std::uint64_t seed)
     : terms_(terms), self_(std::move(self)), rank_(rank), first_rank_(rank), chance_(seed) {}
 
-bool QuotaLending::is_lending_item(const Word& word) { return word.key.rfind(about, 0) == 0; }
+bool QuotaLending::is_lending_item(const GossipItem& word) { return word.key.rfind(about, 0) == 0; }
 
 void QuotaLending::report_shortage(Time now, const QuotaShare& of, double units) {
     // Parts under a unit do not move.
@@ -75,16 +76,16 @@
     lack.last = now;
 }
 
-bool QuotaLending::receive(Time now, const Word& word) {
-    if (word.past(now) || word.life > terms_.life) return false;
+bool QuotaLending::receive(Time now, const GossipItem& word) {
+    if (word.is_expired(now) || word.time_to_live > terms_.life) return false;
     return word.key.rfind(about_want, 0) == 0 ? receive_request(now, word) : receive_loan(now, word);
 }
 
-bool QuotaLending::receive_request(Time now, const Word& word) {
+bool QuotaLending::receive_request(Time now, const GossipItem& word) {
     LoanRequest want;
     if (!read(word, want) || want.by == self_) return false;
-    Word& held = words_[word.key];
-    if (word.rank <= held.rank) return false;
+    GossipItem& held = words_[word.key];
+    if (word.sequence <= held.sequence) return false;
     held = word;
     // So many of all are to lend; who lacks the same has nothing to spare.
     const double others = std::max(1, want.share.gateways - 1), lenders = std::min(others, terms_.lenders);
@@ -96,13 +97,13 @@
     return true;
 }
 
-bool QuotaLending::receive_loan(Time now, const Word& word) {
+bool QuotaLending::receive_loan(Time now, const GossipItem& word) {
     LoanWord is;
     if (!read(word, is) || is.by == self_) return false;
     if (is.to != self_) return words_.emplace(word.key, word).second;
     // One that an earlier process of ours asked for was its own, and one taken before is not taken again.
-    if (is.want <= first_rank_ || word.rank <= taken_to_[is.by] ||
-        !taken_[is.by].emplace(word.rank, now).second) {
+    if (is.want <= first_rank_ || word.sequence <= taken_to_[is.by] ||
+        !taken_[is.by].emplace(word.sequence, now).second) {
         ++counters_.refused;
         return false;
     }
@@ -124,7 +125,7 @@
                    {"u", units},
                    {"e", static_cast<std::uint64_t>(until)}},
                   bytes);
-    const Word word{key_of_loan(self_, rank), rank, now, terms_.life, bytes};
+    const GossipItem word{key_of_loan(self_, rank), rank, now, terms_.life, bytes};
     words_[word.key] = word;
     telling_.push_back(word);
     ++counters_.loans_out, counters_.units_out += units;
@@ -133,7 +134,7 @@
 std::vector<Loan> QuotaLending::take_loans() { return std::exchange(loans_, {}); }
 
 void QuotaLending::forget(Time now) {
-    std::erase_if(words_, [now](const auto& each) { return each.second.past(now); });
+    std::erase_if(words_, [now](const auto& each) { return each.second.is_expired(now); });
     // Nothing was lacking for so long: what comes next is another need.
     std::erase_if(lacks_, [&](const auto& each) { return now > each.second.last + terms_.longest; });
     for (auto& [lender, ranks] : taken_)
@@ -143,7 +144,7 @@
         }
 }
 
-std::vector<Word> QuotaLending::take_outgoing(Time now) {
+std::vector<GossipItem> QuotaLending::take_outgoing(Time now) {
     forget(now);
     for (auto& [tenant, lack] : lacks_) {
         if (lack.units <= 0 || now < lack.told + lack.wait) continue;
@@ -157,7 +158,7 @@
                        {"b", lack.share.burst},
                        {"u", lack.units}},
                       bytes);
-        const Word word{key_of_want(self_, tenant), rank, now, terms_.life, bytes};
+        const GossipItem word{key_of_want(self_, tenant), rank, now, terms_.life, bytes};
         telling_.push_back(word);
         words_[word.key] = word;
         // A loan sets it back: who brought nothing so far is asked ever more seldom.
@@ -168,10 +169,10 @@
     return std::exchange(telling_, {});
 }
 
-std::vector<Word> QuotaLending::live_items(Time now) const {
-    std::vector<Word> all;
+std::vector<GossipItem> QuotaLending::live_items(Time now) const {
+    std::vector<GossipItem> all;
     for (const auto& [key, word] : words_)
-        if (!word.past(now)) all.push_back(word);
+        if (!word.is_expired(now)) all.push_back(word);
     return all;
 }
 
--- a/src/limits/rights.h
+++ b/src/limits/rights.h
@@ -47,17 +47,17 @@
     // The counter has answered us: what is let in here is counted, so that our part is not ours to lend.
     void counter_answered(Time now) { counted_until_ = now + terms_.silent; }
     // Whether it is new here, and so to be passed on.
-    bool receive(Time now, const members::Word& word);
+    bool receive(Time now, const members::GossipItem& word);
     // Others' wants that are for us to lend to, each once.
     std::vector<LoanRequest> take_requests();
     // So many units have left our part, for that want.
     void record_loan(Time now, const LoanRequest& want, double units, Time until);
     // Loans to us, each once.
     std::vector<Loan> take_loans();
-    std::vector<members::Word> take_outgoing(Time now);
-    std::vector<members::Word> live_items(Time now) const;
+    std::vector<members::GossipItem> take_outgoing(Time now);
+    std::vector<members::GossipItem> live_items(Time now) const;
     Time next_timer(Time now) const;
-    static bool is_lending_item(const members::Word& word);
+    static bool is_lending_item(const members::GossipItem& word);
 
     struct Counters {
         std::uint64_t requests = 0, loans_out = 0, loans_in = 0, refused = 0;
@@ -73,19 +73,19 @@
         Time last = 0;
     };
     void forget(Time now);
-    bool receive_request(Time now, const members::Word& word);
-    bool receive_loan(Time now, const members::Word& word);
+    bool receive_request(Time now, const members::GossipItem& word);
+    bool receive_loan(Time now, const members::GossipItem& word);
 
     QuotaLendingOptions terms_;
     std::string self_;
     std::uint64_t rank_, first_rank_;
     Time counted_until_ = 0;
     std::mt19937_64 chance_;
-    std::map<std::uint64_t, Shortage> lacks_;        // by tenant
-    std::map<std::string, members::Word> words_;     // by key: what is passed on, while it lives
+    std::map<std::uint64_t, Shortage> lacks_;           // by tenant
+    std::map<std::string, members::GossipItem> words_;  // by key: what is passed on, while it lives
     std::map<std::string, std::uint64_t> taken_to_;  // by lender: no loan up to this rank is taken any more
     std::map<std::string, std::map<std::uint64_t, Time>> taken_;  // over that: when each was taken
-    std::vector<members::Word> telling_;
+    std::vector<members::GossipItem> telling_;
     std::vector<LoanRequest> asked_;
     std::vector<Loan> loans_;
     Counters counters_;
--- a/src/members/envelope.h
+++ b/src/members/envelope.h
@@ -1,6 +1,5 @@
-// The one envelope that all datagrams between members are written in: a checksum, then CBOR (RFC 8949) as
-// nlohmann-json writes it, with a name for each field, so that a newer version's fields are passed over by an
-// older one. Pure.
+// Encoding of datagrams between members: a checksum (XXH64) followed by a CBOR map (RFC 8949) with named
+// fields, so that an older version skips fields that a newer one has added. Pure.
 #pragma once
 
 #include <array>
@@ -14,47 +13,53 @@
 
 namespace dewweir::members {
 
-constexpr std::size_t most_bytes = 1200;  // of a datagram
-constexpr std::size_t room_bytes = 1000;  // of these, for updates and words
+constexpr std::size_t max_datagram_bytes = 1200;
+constexpr std::size_t max_gossip_bytes = 1000;  // of a datagram, for updates and gossip items
 constexpr int envelope_version = 1;
 
+// A message with its sender.
 struct Envelope {
     std::string deployment, from;
-    std::uint64_t instance = 0, sequence = 0;  // of the sender: each datagram has a number of its own
+    std::uint64_t instance = 0;  // of the sending process
+    std::uint64_t sequence = 0;  // unique among the datagrams of that process, rising
     Message message;
 
     bool operator==(const Envelope&) const = default;
 };
 
-// `now`: by the clock here, for the ages of words.
-std::string written(const Envelope& envelope, Time now);
+// `now`: local time, from which the ages of the gossip items are computed.
+std::string encode_envelope(const Envelope& envelope, Time now);
 
-enum class Refused : std::uint8_t {
+// Why a received datagram is dropped. Counted in the status file under these names.
+enum class RejectReason : std::uint8_t {
     none,
-    torn,
-    other_deployment,
-    unknown_version,
-    replayed,
-    stranger,
+    torn,              // truncated, corrupt, or not in the expected form
+    other_deployment,  // from a fleet with another deployment name
+    unknown_version,   // an envelope version or message kind this version does not know
+    replayed,          // seen before, or too old to tell
+    stranger,          // from an address that the operator file does not list
     count
 };
-const char* name_of(Refused why);
+const char* name_of(RejectReason why);
 
-// `deployment`: ours. What cannot be read is told apart by why.
-Refused read_envelope(std::string_view bytes, const std::string& deployment, Time now, Envelope& into);
+// Decodes a datagram into `into`. `deployment`: the name this fleet uses. Returns why it is rejected, or
+// none; `into` is unspecified unless the result is none.
+RejectReason decode_envelope(std::string_view bytes, const std::string& deployment, Time now, Envelope& into);
 
-// Datagrams that have come already, by who sent them: the network may double or hold them back.
-class Seen {
+// Recognizes datagrams that have already been received: the network may duplicate or delay them. Keeps a
+// sliding window of 64 sequence numbers for each sending process.
+class ReplayFilter {
   public:
-    // Whether it is new. One so old that it cannot be told is not.
-    bool fresh(const std::string& from, std::uint64_t instance, std::uint64_t sequence);
+    // Records a datagram; returns whether it is new. One older than the window counts as a replay.
+    bool accept(const std::string& from, std::uint64_t instance, std::uint64_t sequence);
 
   private:
-    static constexpr std::size_t most_senders = 65536;
+    static constexpr std::size_t max_senders = 65536;
     struct Sender {
-        std::uint64_t newest = 0, before = 0;  // a bit for each of the 64 before the newest
+        std::uint64_t newest = 0;
+        std::uint64_t before = 0;  // bit n: whether sequence number newest - 1 - n was received
     };
-    std::map<std::pair<std::string, std::uint64_t>, Sender> senders_;  // a process each
+    std::map<std::pair<std::string, std::uint64_t>, Sender> senders_;  // by name and instance
 };
 
 }  // namespace dewweir::members
--- a/src/members/live.h
+++ b/src/members/live.h
@@ -1,5 +1,5 @@
-// How many gateways there are, for parts of quotas: steady where members come and go, and as it was where we
-// have been cut off. Pure: moments and counts are handed in.
+// The number of gateways that quotas are divided by: stable while members come and go, and unchanged while
+// this member is cut off from the others. Pure: times and counts are passed in.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,34 @@
 
 namespace dewweir::members {
 
-struct LiveTerms {
-    Time hold = 300000;             // a fall is believed when it has lasted so long
-    Time moment = 600000;           // what was seen within so long is what we knew a moment ago
-    Time partition_for = 18000000;  // a cut that lasts longer is taken for what there is now
-    double cut_part = 0.5;          // seeing less than this part of it, we are cut off
+// Times in tenths of a millisecond.
+struct LiveCountOptions {
+    Time fall_delay = 300000;       // a lower count takes effect once it has lasted this long
+    Time cut_window = 600000;       // the count is compared with the highest one within this window
+    Time partition_for = 18000000;  // a partition that lasts longer is taken for the actual size
+    double cut_fraction = 0.5;      // seeing less than this fraction, this member is cut off
 };
 
-// A rise counts at once: too many parts let in too little for a moment, too few mint quota. A fall counts
-// once it has lasted, so that one that flaps is counted as there. Under half of what was there a moment ago
-// is no fall, but a cut: the count stays as it was until it heals.
-class Live {
+// A rise takes effect at once: dividing by too many admits too little for a while, dividing by too few admits
+// more than the quota. A fall takes effect once it has lasted, so that a flapping member counts as present. A
+// sudden fall below `cut_fraction` is taken for a partition: the count stays as it was until it heals.
+class LiveCount {
   public:
-    explicit Live(const LiveTerms& terms) : terms_(terms) {}
+    explicit LiveCount(const LiveCountOptions& options) : options_(options) {}
 
-    // `present`: from 1, with ourselves. Moments must not go back.
-    void see(Time now, std::size_t present);
+    // `present`: members seen, at least 1, including this one. `now` must not go back.
+    void update(Time now, std::size_t present);
     std::size_t count() const { return count_; }
     bool cut_off() const { return cut_since_ > 0; }
-    Time cut_since() const { return cut_since_; }
+    Time cut_since() const { return cut_since_; }  // 0: not cut off
 
   private:
-    LiveTerms terms_;
-    std::deque<std::pair<Time, std::size_t>> seen_;  // falling from front to back: the most from then on
+    LiveCountOptions options_;
+    // Monotonic queue: each entry is the highest count from its time on, decreasing from front to back.
+    std::deque<std::pair<Time, std::size_t>> maxima_;
     std::size_t count_ = 0;
     Time cut_since_ = 0;
-    std::size_t cut_from_ = 0;  // how many there were
+    std::size_t count_before_cut_ = 0;
 };
 
 }  // namespace dewweir::members
--- a/src/members/members.h
+++ b/src/members/members.h
@@ -1,8 +1,9 @@
-// Who is there: SWIM (Das, Gupta and Motivala, 2002) with Lifeguard's refinements (Dadgar, Phillips and
-// Currey, 2018): failures are found by random probes, directly and through others; a suspicion runs out the
-// sooner the more members share it; who may itself be slow waits longer and says so; who hears ill of itself
-// refutes it. Pure: moments, datagrams and a seed are handed in, what is to be sent is handed out. Owns what
-// is known of each member; it must never judge a host or a submission.
+// Membership of the fleet: SWIM (Das, Gupta and Motivala, 2002) with the refinements of Lifeguard (Dadgar,
+// Phillips and Currey, 2018). Failures are detected by random probes, direct and through other members. The
+// timeout of a suspicion shrinks with each member that confirms it. A member that may itself be slow waits
+// longer before it suspects others, and a suspected member refutes the suspicion. Pure: times, datagrams and
+// a seed are passed in, messages to send are returned. Owns what is known of each member; it must never judge
+// an upstream host or a request.
 #pragma once
 
 #include <boost/random/mersenne_twister.hpp>
@@ -19,127 +20,143 @@
 namespace dewweir::members {
 
 // Times in tenths of a millisecond.
-struct MembersTerms {
-    Time period = 10000;  // a probe each; an answer is waited for a fifth of it, then others are asked
-    Time gossip = 2000;   // news is passed on each, where there is any
-    int fan_out = 3;      // to so many
-    int helpers = 3;      // asked to probe for us
-    // Lifeguard's: the least time of a suspicion is `alpha` x log10(members) periods, the most `beta` times
-    // that, less by each of up to `confirmers` others that share it.
-    double alpha = 5, beta = 6;
-    int confirmers = 3;
-    int most_doubt = 8;     // of our own health: periods and times are longer by as many
-    Time ask_all = 300000;  // the whole list of another: what gossip has missed, and the other side of a cut
-    Time remember_dead = 36000000;  // and who has left
-    int rounds = 8;                 // times log2(members): how often each news is passed on
+struct MembersOptions {
+    Time probe_period = 10000;  // one probe each; a fifth of it is the timeout of a direct answer
+    Time gossip_period = 2000;  // one round each, where there is anything to pass on
+    int fan_out = 3;            // members that each round of gossip is sent to
+    int indirect_probes = 3;    // members asked to probe on our behalf
+    // Lifeguard's suspicion timeout: at least `suspicion_alpha` * log10(members) probe periods, at most
+    // `suspicion_beta` times that; each of up to `max_confirmations` other members shortens it.
+    double suspicion_alpha = 5;
+    double suspicion_beta = 6;
+    int max_confirmations = 3;
+    int max_health_score = 8;   // probe period and timeouts are multiplied by up to 1 + this
+    Time list_period = 300000;  // requests a full list: what gossip missed, and the other side of a partition
+    Time dead_retention = 36000000;  // how long dead and departed members are remembered
+    int retransmit_factor = 8;       // times log2(members): how often each update is sent
 };
 
+// What is known of another member.
 struct Member {
-    Update is;
-    Time since = 0;  // of its state, here
+    Update update;   // the latest one
+    Time since = 0;  // when its state was set here
     Time suspect_until = 0;
     std::set<std::string> suspected_by{};
-    int unanswered = 0;  // of what we asked it, in a row, since the last datagram of its own
+    int unanswered = 0;  // consecutive messages to it that ask for an answer, since its last datagram
 };
 
-struct Sending {
+struct OutgoingMessage {
     Address to;
-    std::string whom;  // empty: whoever is there
+    std::string target;  // name of the intended receiver; empty: whoever listens at the address
     Message message;
 };
 
 class Members {
   public:
-    // `self`: name, address and instance. `seeds`: addresses to begin with, our own may be among them.
-    Members(const MembersTerms& terms, const Update& self, std::vector<Address> seeds, std::uint64_t seed,
+    // `self`: name, address and instance of this member. `seeds`: addresses to join by; our own is ignored.
+    Members(const MembersOptions& options, const Update& self, std::vector<Address> seeds, std::uint64_t seed,
             Time now);
 
-    void step(Time now);               // what is due
-    Time now() const { return now_; }  // when it was last told anything
-    Time next() const;                 // when `step` is to be called next
-    // `instance`: the sender's, by the envelope.
-    void came(Time now, const std::string& from, std::uint64_t instance, Address at, const Message& message);
-    void leave(Time now);         // tells some of it at once; the caller sends what is to be sent, and goes
-    std::vector<Sending> take();  // to be sent, once
+    void step(Time now);               // does what is due
+    Time now() const { return now_; }  // time of the last call that passed one
+    Time next() const;                 // when `step` is due next
+    // Handles a received message. `instance`: of the sender, from the envelope.
+    void receive(Time now, const std::string& from, std::uint64_t instance, Address at,
+                 const Message& message);
+    // Announces that this member leaves; the caller sends the outgoing messages and then stops.
+    void leave(Time now);
+    std::vector<OutgoingMessage> take_outgoing();  // each once
 
-    // Words of other packages, passed on like news of members.
-    void tell(const Word& word) { spread_.put(word); }
-    void drop(const std::string& key) { spread_.drop_word(key); }
-    // Called for each word that comes, and before a list is told, to be given all there are.
-    std::function<void(Time now, const std::string& from, const Word& word)> on_word;
-    std::function<std::vector<Word>()> all_words;
+    // Gossip items of other packages, passed on like updates.
+    void publish(const GossipItem& item) { spread_.put(item); }
+    void withdraw(const std::string& key) { spread_.drop_item(key); }
+    // Called for each unexpired item that is received.
+    std::function<void(Time now, const std::string& from, const GossipItem& item)> on_item;
+    // Called before a full list is sent, to get all items that are live.
+    std::function<std::vector<GossipItem>()> live_items;
 
-    const std::map<std::string, Member>& all() const { return all_; }  // but for ourselves
+    const std::map<std::string, Member>& others() const { return others_; }  // by name, without this member
     const Update& self() const { return self_; }
-    std::size_t present() const { return present_; }  // alive or suspected, and ourselves
-    // How many of these can be reached now, by what we and those we hear found: who is cut off doubts itself,
-    // and is slow to hold the others for dead. A suspicion by chance is refuted before it counts here.
-    std::size_t reached() const;
-    int doubt() const { return doubt_; }  // of our own health, 0 to `most_doubt`
-    // Another process has our name and is the later one: we say nothing more.
+    std::size_t present_count() const { return present_; }  // alive or suspected, including this member
+    // How many of these can be reached now, including this member, judged by unanswered messages and standing
+    // suspicions: a member that is cut off has a high health score, and so is slow to declare the others
+    // dead. A suspicion raised by chance is refuted before it counts here.
+    std::size_t reachable_count() const;
+    // Lifeguard's local health: 0 (healthy) to `max_health_score`; it rises when probes of ours fail.
+    int health_score() const { return health_score_; }
+    // Whether a later process has taken our name; this member then sends nothing more.
     bool replaced() const { return replaced_; }
     Address replaced_by() const { return replaced_by_; }
-    // Changes of states, in order, once.
-    std::vector<Update> changes() { return std::exchange(changes_, {}); }
+    // Changes of members' states, in order, each once.
+    std::vector<Update> take_changes() { return std::exchange(changes_, {}); }
 
-    struct Tally {
-        std::uint64_t probes = 0, failed = 0, refuted = 0, died = 0;
+    // Since the start.
+    struct Counters {
+        std::uint64_t probes = 0;   // sent
+        std::uint64_t failed = 0;   // probes without an answer, direct or indirect
+        std::uint64_t refuted = 0;  // claims about this member that it refuted
+        std::uint64_t died = 0;     // suspicions of other members that timed out here
     };
-    const Tally& tally() const { return tally_; }
-    Time suspicion(int confirmations) const;  // how long one lasts now
+    const Counters& counters() const { return counters_; }
+    Time suspicion_timeout(int confirmations) const;  // at the present number of members
 
   private:
+    // The probe in flight.
     struct Probe {
-        std::uint64_t number = 0;  // 0: none is out
-        std::string whom;
-        Time ask_others_at = 0, over_at = 0;
-        bool others = false;
-        int nacks_missing = 0;
+        std::uint64_t number = 0;  // 0: none
+        std::string target;
+        Time indirect_at = 0;  // when to probe through others
+        Time ends_at = 0;
+        bool indirect = false;  // whether others have been asked
+        int nacks_missing = 0;  // of those asked; members that send not even a nack hint at a fault of ours
     };
-    struct Relayed {  // a probe for another
-        std::uint64_t theirs;
-        std::string whom, for_whom;
-        Address back_to;
+    // A probe on behalf of another member.
+    struct Relayed {
+        std::uint64_t requester_number;  // the probe's number at the requester
+        std::string target, requester;
+        Address requester_address;
         Time nack_at;
     };
 
     void probe(Time now);
-    void probe_over(Time now);
-    void ask_others(Time now);
+    void finish_probe(Time now);
+    void probe_indirectly(Time now);
     void gossip();
-    void ask_for_all();
-    void tell_all(Address to, const std::string& whom, std::uint64_t from);
-    void suspicions(Time now);
-    void heard(Time now, const Update& update);
-    void heard_of_us(const Update& update);
+    void request_list();
+    // Sends the full list from entry `from` on, as far as one datagram holds it.
+    void send_list(Address to, const std::string& target, std::uint64_t from);
+    void expire_suspicions(Time now);
+    void apply_update(Time now, const Update& update);
+    void apply_own_update(const Update& update);
     void set(Time now, Member& member, const Update& update);
-    // `first`: goes along whatever else does.
-    void send(Address to, const std::string& whom, Message message, const Update* first = nullptr);
-    void doubt(int by);
-    int rounds() const;
-    std::size_t draw(std::size_t n);
-    std::vector<std::string> some(std::size_t n, const std::function<bool(const Member&)>& which);
+    // `first`: an update that is included before any queued one.
+    void send(Address to, const std::string& target, Message message, const Update* first = nullptr);
+    void adjust_health_score(int by);
+    int max_sends() const;            // of each update and item, at the present number of members
+    std::size_t draw(std::size_t n);  // a random number from 0 to n - 1
+    // Names of up to `n` random members that the predicate holds for.
+    std::vector<std::string> random_members(std::size_t n, const std::function<bool(const Member&)>& which);
 
-    MembersTerms terms_;
+    MembersOptions options_;
     Time now_;
     Update self_;
     std::vector<Address> seeds_;
-    boost::random::mt19937 chance_;
-    std::map<std::string, Member> all_;
+    boost::random::mt19937 rng_;
+    std::map<std::string, Member> others_;
     std::size_t present_ = 1;
     Spread spread_;
-    std::vector<std::string> order_;  // of probes: each once, then shuffled anew
-    std::size_t at_ = 0;
+    std::vector<std::string> probe_order_;  // each member once, reshuffled after each pass
+    std::size_t probe_position_ = 0;        // in `probe_order_`
     Probe probe_;
-    std::map<std::uint64_t, Relayed> relayed_;
-    std::uint64_t numbers_ = 0;
-    Time probe_at_, gossip_at_, ask_at_;
-    int doubt_ = 0;
+    std::map<std::uint64_t, Relayed> relayed_;  // by the number of our own ping
+    std::uint64_t last_number_ = 0;
+    Time probe_at_, gossip_at_, list_at_;
+    int health_score_ = 0;
     bool replaced_ = false, left_ = false;
     Address replaced_by_ = 0;
-    std::vector<Sending> out_;
+    std::vector<OutgoingMessage> outgoing_;
     std::vector<Update> changes_;
-    Tally tally_;
+    Counters counters_;
 };
 
 }  // namespace dewweir::members
--- a/src/members/spread.h
+++ b/src/members/spread.h
@@ -1,5 +1,5 @@
-// What is still to be passed on, and how often each of it was: the least told first, each for a bounded
-// number of rounds. Pure.
+// The queue of updates and gossip items that are still to be passed on, with how often each has been sent.
+// The least sent go first, and each is sent a bounded number of times. Pure.
 #pragma once
 
 #include <map>
@@ -14,49 +14,49 @@
 
 class Spread {
   public:
-    // A later one takes the place of what is there of the same member, or of the same key.
+    // Queues an entry; it replaces the one about the same member, or of the same key.
     void put(const Update& update) { updates_.put(update.name, update); }
-    void put(const Word& word) { words_.put(word.key, word); }
-    void drop_word(const std::string& key) { words_.drop(key); }
-    bool empty() const { return updates_.empty() && words_.empty(); }
+    void put(const GossipItem& item) { items_.put(item.key, item); }
+    void drop_item(const std::string& key) { items_.drop(key); }
+    bool empty() const { return updates_.empty() && items_.empty(); }
 
-    // Fills a message up to so many bytes (of the envelope's estimate) with what it does not say yet, the
-    // least told first; what has been told in `rounds` messages is forgotten. Words past their life are
-    // forgotten too.
-    void fill(Message& message, std::size_t bytes, int rounds, Time now);
+    // Fills a message with queued entries that it does not contain yet, the least sent first, up to `bytes`
+    // by the estimate of size_of. Removes what has then been sent in `max_sends` messages, and expired items.
+    void fill(Message& message, std::size_t bytes, int max_sends, Time now);
 
   private:
-    // In the order in which they go, among equals by key, so that it is the same everywhere; a fill touches
-    // what it takes, not all there is.
-    template <class What> class Items {
+    // Ordered by number of sends, then by key, so that runs are reproducible; a fill touches only the entries
+    // it takes.
+    template <class What> class Queue {
       public:
-        using Order = std::map<std::pair<int, std::string>, What>;  // by how often told, then by key
+        using Order = std::map<std::pair<int, std::string>, What>;  // by number of sends, then by key
         void put(const std::string& key, const What& what) {
             drop(key);
-            told_[key] = 0;
+            sends_[key] = 0;
             order_.emplace(std::pair(0, key), what);
         }
         void drop(const std::string& key) {
-            const auto at = told_.find(key);
-            if (at == told_.end()) return;
+            const auto at = sends_.find(key);
+            if (at == sends_.end()) return;
             order_.erase({at->second, key});
-            told_.erase(at);
+            sends_.erase(at);
         }
         bool empty() const { return order_.empty(); }
-        template <class Take> void take(std::size_t& room, int rounds, const Take& taken);
-        template <class Over> void drop_if(const Over& over);
+        // Offers the entries that fit into `room` bytes to `accept`; those it returns false for are removed.
+        template <class Accept> void take(std::size_t& room, int max_sends, const Accept& accept);
+        template <class Predicate> void drop_if(const Predicate& predicate);
 
       private:
         Order order_;
-        std::unordered_map<std::string, int> told_;
+        std::unordered_map<std::string, int> sends_;  // by key
     };
-    Items<Update> updates_;
-    Items<Word> words_;
-    Time swept_ = 0;
+    Queue<Update> updates_;
+    Queue<GossipItem> items_;
+    Time swept_ = 0;  // when expired items were last removed
 };
 
-// About how many bytes one takes in an envelope, never less than it does.
+// Estimate of the encoded size in bytes, never below the actual one.
 std::size_t size_of(const Update& update);
-std::size_t size_of(const Word& word);
+std::size_t size_of(const GossipItem& item);
 
 }  // namespace dewweir::members
--- a/src/peers/words.cpp
+++ b/src/peers/words.cpp
@@ -10,132 +10,141 @@
 namespace dewweir::peers {
 namespace {
 
-using members::Word;
+using members::GossipItem;
 using nlohmann::json;
 
-constexpr std::uint64_t words_a_ms = 1024;  // at the most, so that a later process of a name is later
-constexpr double least_loan = 0.01;         // units: less is not worth a word
-constexpr Time list_life = 100000;          // 10 s: a watch that is lost is found again within that
+constexpr std::uint64_t sequences_per_ms =
+    1024;                          // more than are published, so a later process starts above an earlier one
+constexpr double min_loan = 0.01;  // units; smaller loans are not published
+constexpr Time list_time_to_live = 100000;  // 10 s: a lost watch is restored within that time
 
 }  // namespace
 
-Words::Words(members::Members& members, net::ReportReceiver& report_receiver, const std::string& name,
-             std::uint64_t instance, std::uint64_t seed, bool rights)
+ReportExchange::ReportExchange(members::Members& members, net::ReportReceiver& report_receiver,
+                               const std::string& name, std::uint64_t instance, std::uint64_t seed,
+                               bool lending)
     : members_(members),
       report_receiver_(report_receiver),
-      hosts_({}, name, instance * words_a_ms),
-      lists_(list_life),
-      counts_({}, name),
-      rights_({}, name, instance * words_a_ms, seed),
-      moves_(rights) {
-    members_.on_word = [this](Time now, const std::string&, const Word& word) {
-        verdicts::HostWord of_host;
-        const bool fresh = verdicts::CountWords::is_one(word)  ? counts_.came(now, word)
-                           : verdicts::ListWords::is_one(word) ? lists_.came(now, word)
-                           : limits::QuotaLending::is_lending_item(word)
-                               ? moves_ && rights_.receive(now, word)
-                           : verdicts::host_word_of(word, of_host) ? hosts_.came(now, of_host)
-                                                                   : false;
+      observations_({}, name, instance * sequences_per_ms),
+      lists_(list_time_to_live),
+      totals_({}, name),
+      lending_({}, name, instance * sequences_per_ms, seed),
+      lends_(lending) {
+    members_.on_item = [this](Time now, const std::string&, const GossipItem& item) {
+        verdicts::HostObservation observation;
+        const bool fresh =
+            verdicts::CounterTotals::is_item(item)             ? totals_.receive(now, item)
+            : verdicts::HostListReports::is_item(item)         ? lists_.receive(now, item)
+            : limits::QuotaLending::is_lending_item(item)      ? lends_ && lending_.receive(now, item)
+            : verdicts::host_observation_of(item, observation) ? observations_.receive(now, observation)
+                                                               : false;
         ++(fresh ? passed_on_ : dropped_);
-        if (fresh) members_.tell(word);
+        if (fresh) members_.publish(item);
     };
-    members_.all_words = [this] {
+    members_.live_items = [this] {
         const Time now = members_.now();
-        std::vector<Word> all = lists_.all(now);
-        for (const Word& one : counts_.all(now)) all.push_back(one);
-        for (const Word& one : rights_.live_items(now)) all.push_back(one);
-        for (const verdicts::HostWord& one : hosts_.all(now)) all.push_back(verdicts::word_of(one));
+        std::vector<GossipItem> all = lists_.live_items(now);
+        for (const GossipItem& one : totals_.live_items(now)) all.push_back(one);
+        for (const GossipItem& one : lending_.live_items(now)) all.push_back(one);
+        for (const verdicts::HostObservation& one : observations_.live_observations(now))
+            all.push_back(verdicts::item_of(one));
         return all;
     };
 }
 
-void Words::host_found(Time now, const std::string& host, bool shut) {
-    hosts_.found(now, host, shut ? verdicts::Finding::shut : verdicts::Finding::well);
+void ReportExchange::host_status_changed(Time now, const std::string& host, bool shut) {
+    observations_.observe(now, host,
+                          shut ? verdicts::HostCondition::ejected : verdicts::HostCondition::healthy);
 }
 
-void Words::host_ended(Time now, const std::string& host, AttemptOutcome outcome, Time took) {
-    using End = verdicts::HostWords::End;
-    const bool nothing = outcome == AttemptOutcome::cancelled || outcome == AttemptOutcome::not_sent;
-    const End end = outcome == AttemptOutcome::ok ? End::well
-                    : outcome == AttemptOutcome::overloaded
-                        ? End::alive  // which says nothing against the host
-                    : nothing ? End::nothing
-                              : End::failed;
-    hosts_.ended(now, host, end, took);
+void ReportExchange::attempt_ended(Time now, const std::string& host, AttemptOutcome outcome, Time took) {
+    using AttemptResult = verdicts::HostObservations::AttemptResult;
+    const bool inconclusive = outcome == AttemptOutcome::cancelled || outcome == AttemptOutcome::not_sent;
+    const AttemptResult result = outcome == AttemptOutcome::ok ? AttemptResult::succeeded
+                                 : outcome == AttemptOutcome::overloaded
+                                     ? AttemptResult::alive  // no evidence against the host
+                                 : inconclusive ? AttemptResult::inconclusive
+                                                : AttemptResult::failed;
+    observations_.attempt_ended(now, host, result, took);
 }
 
-bool Words::publish_total(Time now, std::uint64_t name, double total) {
-    rights_.counter_answered(now);
-    return counts_.told(now, name, total);
+bool ReportExchange::publish_total(Time now, std::uint64_t name, double total) {
+    lending_.counter_answered(now);
+    return totals_.record(now, name, total);
 }
 
-void Words::list_told(Time now, const net::Listing& listing) {
+void ReportExchange::host_list_received(Time now, const net::Listing& listing) {
     std::vector<verdicts::ListedHost> hosts;
     for (const net::Entry& one : listing.entries)
         hosts.push_back({one.id, one.state == HostState::ready, one.up_since});
-    lists_.told(now, listing.revision, listing.whole, hosts);
+    lists_.update_own_list(now, listing.revision, listing.whole, hosts);
 }
 
-void Words::follow(Time now) {
-    for (const verdicts::HostWord& one : hosts_.to_tell(now)) members_.tell(verdicts::word_of(one));
-    for (const Word& one : lists_.to_tell()) members_.tell(one);
-    for (const Word& one : counts_.to_tell()) members_.tell(one);
-    counts_.forget(now);
-    for (const limits::LoanRequest& one : rights_.take_requests())
-        if (const double units = report_receiver_.lend_tokens(one.share, one.units); units >= least_loan)
-            rights_.record_loan(now, one, units, limits::LoanBalance::expiry_of(now));
-    for (const limits::Loan& one : rights_.take_loans())
+void ReportExchange::follow(Time now) {
+    for (const verdicts::HostObservation& one : observations_.take_outgoing(now))
+        members_.publish(verdicts::item_of(one));
+    for (const GossipItem& one : lists_.take_outgoing()) members_.publish(one);
+    for (const GossipItem& one : totals_.take_outgoing()) members_.publish(one);
+    totals_.remove_expired(now);
+    for (const limits::LoanRequest& one : lending_.take_requests())
+        if (const double units = report_receiver_.lend_tokens(one.share, one.units); units >= min_loan)
+            lending_.record_loan(now, one, units, limits::LoanBalance::expiry_of(now));
+    for (const limits::Loan& one : lending_.take_loans())
         report_receiver_.receive_loan(one.tenant, one.units, one.expires_at);
-    for (const Word& one : rights_.take_outgoing(now)) members_.tell(one);
+    for (const GossipItem& one : lending_.take_outgoing(now)) members_.publish(one);
     std::set<std::string> changed;
-    for (const std::string& host : hosts_.changed(now)) changed.insert(host);
-    for (const std::string& host : lists_.changed(now)) changed.insert(host);
+    for (const std::string& host : observations_.take_changed(now)) changed.insert(host);
+    for (const std::string& host : lists_.take_changed(now)) changed.insert(host);
     for (const std::string& host : changed) {
-        const verdicts::HostWords::Doubt doubt = hosts_.doubt_of(now, host);
-        const verdicts::ListWords::Said listed = lists_.said_of(now, host);
-        const HostReport said{.suspicion = doubt.doubt,
-                              .last_failure = doubt.found,
-                              .expires_at = std::max(doubt.until, listed.until),
-                              .draining = listed.draining,
-                              .up_since = listed.up_since};
-        const bool nothing = doubt.shut_by + doubt.well_by == 0 && listed.until == 0;
-        if (nothing ? told_.erase(host) > 0 : (told_[host] = said, true))
-            report_receiver_.host_reported(host, said);
+        const verdicts::HostObservations::Suspicion suspicion = observations_.suspicion_of(now, host);
+        const verdicts::HostListReports::Report listed = lists_.report_of(now, host);
+        const HostReport report{.suspicion = suspicion.score,
+                                .last_failure = suspicion.last_failure,
+                                .expires_at = std::max(suspicion.expires_at, listed.expires_at),
+                                .draining = listed.draining,
+                                .up_since = listed.up_since};
+        const bool no_report =
+            suspicion.failing_count + suspicion.healthy_count == 0 && listed.expires_at == 0;
+        if (no_report ? delivered_.erase(host) > 0 : (delivered_[host] = report, true))
+            report_receiver_.host_reported(host, report);
     }
 }
 
-bool Words::report_shortage(Time now, const QuotaShare& of, double units) {
-    if (moves_) rights_.report_shortage(now, of, units);
-    return moves_ && rights_.next_timer(now) <= now + 1;
+bool ReportExchange::report_shortage(Time now, const QuotaShare& of, double units) {
+    if (lends_) lending_.report_shortage(now, of, units);
+    return lends_ && lending_.next_timer(now) <= now + 1;
 }
 
-Time Words::next(Time now) const {
-    return std::min({hosts_.next(now), lists_.next(now), counts_.next(now), rights_.next_timer(now)});
+Time ReportExchange::next(Time now) const {
+    return std::min({observations_.next_timer(now), lists_.next_timer(now), totals_.next_timer(now),
+                     lending_.next_timer(now)});
 }
 
-json Words::status(Time now) const {
-    json words = json::array(), hosts = json::array();
-    for (const verdicts::HostWord& one : hosts_.all(now))
-        words.push_back({{"host", one.host},
-                         {"by", one.origin},
-                         {"finding", verdicts::name_of(one.finding)},
-                         {"found_ms", (now - one.found) / 10},
-                         {"weight", one.origin == hosts_.self() ? 1.0 : hosts_.weight(now, one.origin)}});
-    for (const auto& [host, said] : told_)
+json ReportExchange::status(Time now) const {
+    json observations = json::array();
+    json hosts = json::array();
+    for (const verdicts::HostObservation& one : observations_.live_observations(now))
+        observations.push_back(
+            {{"host", one.host},
+             {"by", one.origin},
+             {"finding", verdicts::name_of(one.condition)},
+             {"found_ms", (now - one.observed_at) / 10},
+             {"weight", one.origin == observations_.self() ? 1.0 : observations_.weight(now, one.origin)}});
+    for (const auto& [host, report] : delivered_)
         hosts.push_back({{"host", host},
-                         {"doubt", said.suspicion},
-                         {"draining", said.draining},
-                         {"started_again", said.up_since > 0},
-                         {"for_ms", std::max<Time>(0, said.expires_at - now) / 10}});
-    const limits::QuotaLending::Counters& moved = rights_.counters();
-    const json rights = {{"wants", moved.requests},      {"loans_out", moved.loans_out},
-                         {"units_out", moved.units_out}, {"loans_in", moved.loans_in},
-                         {"units_in", moved.units_in},   {"refused", moved.refused}};
-    return {{"words", words},
+                         {"doubt", report.suspicion},
+                         {"draining", report.draining},
+                         {"started_again", report.up_since > 0},
+                         {"for_ms", std::max<Time>(0, report.expires_at - now) / 10}});
+    const limits::QuotaLending::Counters& counters = lending_.counters();
+    const json lending = {{"wants", counters.requests},      {"loans_out", counters.loans_out},
+                          {"units_out", counters.units_out}, {"loans_in", counters.loans_in},
+                          {"units_in", counters.units_in},   {"refused", counters.refused}};
+    return {{"words", observations},
             {"hosts", hosts},
             {"passed_on", passed_on_},
             {"dropped", dropped_},
-            {"rights", rights}};
+            {"rights", lending}};
 }
 
 }  // namespace dewweir::peers
--- a/src/peers/words.h
+++ b/src/peers/words.h
@@ -1,6 +1,6 @@
-// What our gateway found, told to the others, and what they found, told to ours: ties the pure packages of
-// verdicts to the members' gossip and to the decisions. Owns which of a host's words the decisions were last
-// told; it must never weigh one.
+// Connects the packages under src/verdicts and the lending of quota to the members' gossip on one side and to
+// the decisions on the other: publishes what this gateway observed, and delivers what its peers observed.
+// Owns the last report that the decisions received of each host; it must never weigh an observation.
 #pragma once
 
 #include <map>
@@ -16,38 +16,42 @@
 
 namespace dewweir::peers {
 
-class Words {
+class ReportExchange {
   public:
-    // `instance`: of this process, as the members have it; later ones of the name are later by it.
-    // `rights`: whether parts of quotas move.
-    Words(members::Members& members, net::ReportReceiver& report_receiver, const std::string& name,
-          std::uint64_t instance, std::uint64_t seed, bool rights);
-
-    void host_found(Time now, const std::string& host, bool shut);
-    Time host_asked(Time now, const std::string& host) { return hosts_.asked(now, host); }
-    void host_ended(Time now, const std::string& host, AttemptOutcome outcome, Time took);
-    bool publish_total(Time now, std::uint64_t name, double total);      // whether there is news to tell
-    bool report_shortage(Time now, const QuotaShare& of, double units);  // whether there is something to tell
-    double corroborated_total(Time now, std::uint64_t name) const { return counts_.known(now, name); }
-    void list_told(Time now, const net::Listing& listing);
-    void gone(const std::string& origin) { hosts_.gone(origin); }
-
-    // What has come to be told, to the others and to the decisions. Not from within a call of the decision
-    // module's.
+    // `instance`: of this process, as the members have it; sequence numbers start from it, so that those of a
+    // later process of the same name are higher. `lending`: whether gateways lend each other quota.
+    ReportExchange(members::Members& members, net::ReportReceiver& report_receiver, const std::string& name,
+                   std::uint64_t instance, std::uint64_t seed, bool lending);
+
+    void host_status_changed(Time now, const std::string& host, bool shut);
+    Time attempt_started(Time now, const std::string& host) {
+        return observations_.attempt_started(now, host);
+    }
+    void attempt_ended(Time now, const std::string& host, AttemptOutcome outcome, Time took);
+    // The next two return whether `follow` has something to send.
+    bool publish_total(Time now, std::uint64_t name, double total);
+    bool report_shortage(Time now, const QuotaShare& of, double units);
+    double corroborated_total(Time now, std::uint64_t name) const { return totals_.corroborated(now, name); }
+    void host_list_received(Time now, const net::Listing& listing);
+    void origin_removed(const std::string& origin) { observations_.origin_removed(origin); }
+
+    // Publishes what is due, and delivers changed reports to the decisions. Must not be called from within a
+    // call of the decision module.
     void follow(Time now);
-    Time next(Time now) const;
+    Time next(Time now) const;  // when `follow` is due next
     nlohmann::json status(Time now) const;
 
   private:
     members::Members& members_;
     net::ReportReceiver& report_receiver_;
-    verdicts::HostWords hosts_;
-    verdicts::ListWords lists_;
-    verdicts::CountWords counts_;
-    limits::QuotaLending rights_;
-    bool moves_;
+    verdicts::HostObservations observations_;
+    verdicts::HostListReports lists_;
+    verdicts::CounterTotals totals_;
+    limits::QuotaLending lending_;
+    bool lends_;  // whether `lending_` is used
+    // Items received: new ones, and those that were not passed on.
     std::uint64_t passed_on_ = 0, dropped_ = 0;
-    std::map<std::string, HostReport> told_;  // to the decisions, while it stands
+    std::map<std::string, HostReport> delivered_;  // to the decisions, by host, while it stands
 };
 
 }  // namespace dewweir::peers
--- a/src/verdicts/host_words.h
+++ b/src/verdicts/host_words.h
@@ -1,7 +1,7 @@
-// What other gateways found of hosts, weighed: each word has its origin, its birth and its life; words of one
-// origin replace each other, those of several add up; who was wrong counts less. Pure: moments and words are
-// handed in, one doubt a host is handed out. It must never shut a host: what follows from a doubt is decided
-// under src/policy.
+// What other gateways observed of upstream hosts, combined into one suspicion score per host. Each
+// observation has an origin and a time to live; later ones of an origin replace earlier ones, those of
+// several origins add up, and an origin that was wrong weighs less. Pure: times and observations are passed
+// in. It must never eject a host: what follows from a suspicion is decided under src/policy.
 #pragma once
 
 #include <cstdint>
@@ -14,106 +14,118 @@
 
 namespace dewweir::verdicts {
 
-struct WordTerms {
-    Time forgives = 300000;  // half of what an origin has lost it has back after so long
-    Time life = 50000;       // of a word: 5 s
-    Time fresh = 20000;      // an answer of our own so young says more than others' words
-    Time evidence = 200000;  // what was found so long ago is told no more, tried again or not
-    double enough = 4;       // where so many others hold it shut already, we need not say so too
-    double learns = 0.3;     // of an origin's weight, at each word that proved right or wrong
-    double least = 0.05;     // weight, so that a liar that has been mended is heard again
-    double silence = 4;      // times a usual piece with its swing: longer without a word is quiet
-    double quiet = 0.5;      // of a gateway's worth of doubt: a long piece looks the same to one alone
+// Times in tenths of a millisecond.
+struct ObservationOptions {
+    Time weight_half_life = 300000;     // an origin regains half of its lost weight in this time
+    Time time_to_live = 50000;          // of an observation: 5 s; it is repeated while it stands
+    Time fresh_for = 20000;             // a response of our own this recent overrides peers' observations
+    Time max_observation_age = 200000;  // since the event; older ones are no longer repeated
+    double redundant_score = 4;  // where peers' score is at least this, our own observation is not published
+    double learning_rate = 0.3;  // of an origin's weight, for each observation that proved right or wrong
+    double min_weight = 0.05;    // so that an origin that is right again can regain weight
+    double silence_multiple =
+        4;  // a host is unresponsive after this many times (average latency + deviation)
+    // Weight of an unresponsive host relative to an ejected one: to one gateway alone, a slow request looks
+    // the same.
+    double unresponsive_weight = 0.5;
 };
 
-// Quiet: a piece there waits for longer than pieces do, and nothing has come from it since it was sent.
-enum class Finding : std::uint8_t { shut, well, quiet };
-const char* name_of(Finding finding);
+// ejected: by the origin's own evidence. unresponsive: an attempt there takes longer than usual, and nothing
+// has come from the host since it was sent. On the wire as a number: the order is part of the format.
+enum class HostCondition : std::uint8_t { ejected, healthy, unresponsive };
+const char* name_of(HostCondition condition);  // as the status file has it: shut, well, quiet
 
-// A word that came, or one of ours.
-struct HostWord {
+// What one gateway observed of one host.
+struct HostObservation {
     std::string host, origin;
-    Finding finding = Finding::shut;
-    std::uint64_t rank = 0;  // of two by one origin of one host, the higher holds
-    Time born = 0, life = 0;
-    Time found = 0;  // when it was seen last: a word that is repeated is born anew, what it says is not
+    HostCondition condition = HostCondition::ejected;
+    std::uint64_t sequence = 0;  // of two by one origin about one host, the higher one is the later
+    Time created_at = 0;         // renewed by each repetition
+    Time time_to_live = 0;
+    Time observed_at = 0;  // when the event was last seen; not renewed by a repetition
 };
-members::Word word_of(const HostWord& word);
-// Nothing where it is no word of a host, or cannot be read.
-bool host_word_of(const members::Word& word, HostWord& into);
+members::GossipItem item_of(const HostObservation& observation);
+// Returns false where the item is no host observation, or cannot be decoded.
+bool host_observation_of(const members::GossipItem& item, HostObservation& into);
 
-class HostWords {
+class HostObservations {
   public:
-    // `self`: our name; `rank`: of our first word, over any of an earlier process of ours.
-    HostWords(const WordTerms& terms, std::string self, std::uint64_t rank)
-        : terms_(terms), self_(std::move(self)), rank_(rank) {}
+    // `self`: our name; `last_sequence`: above that of any observation of an earlier process of that name.
+    HostObservations(const ObservationOptions& options, std::string self, std::uint64_t last_sequence)
+        : options_(options), self_(std::move(self)), last_sequence_(last_sequence) {}
 
-    // We shut it by our own evidence, or it is back.
-    void found(Time now, const std::string& host, Finding finding);
-    // An execution of ours goes there: until when an answer is not overdue. And it has ended; nothing: called
-    // off or never sent, which says nothing; alive: turned away, which is no failure, and no silence.
-    enum class End : std::uint8_t { well, failed, alive, nothing };
-    Time asked(Time now, const std::string& host);
-    void ended(Time now, const std::string& host, End end, Time took);
-    // Whether it is new here, and so to be passed on.
-    bool came(Time now, const HostWord& word);
-    // An origin that is dead: its words age out, and nothing of its weight is kept.
-    void gone(const std::string& origin) { weights_.erase(origin); }
+    // This gateway ejected or restored the host by its own evidence.
+    void observe(Time now, const std::string& host, HostCondition condition);
+    // alive: the host refused the request, which is neither a failure nor silence. inconclusive: cancelled or
+    // never sent.
+    enum class AttemptResult : std::uint8_t { succeeded, failed, alive, inconclusive };
+    // An attempt of ours goes to the host. Returns when the host counts as unresponsive unless it answers;
+    // the largest Time: never, as no latency is known yet.
+    Time attempt_started(Time now, const std::string& host);
+    void attempt_ended(Time now, const std::string& host, AttemptResult result, Time took);
+    // Returns whether the observation is new here, and so is to be passed on.
+    bool receive(Time now, const HostObservation& observation);
+    // An origin has died: its observations expire as usual, its weight is dropped.
+    void origin_removed(const std::string& origin) { weights_.erase(origin); }
 
-    // Our own words that are to be told: new ones, those whose life is half over and still hold, and those
-    // that contradict others. Once.
-    std::vector<HostWord> to_tell(Time now);
+    // Our own observations to publish, each once: new ones, those that still stand after half of their time
+    // to live, and those that contradict peers.
+    std::vector<HostObservation> take_outgoing(Time now);
 
-    struct Doubt {
-        // Weights of those that hold it shut, and found so after anybody last had it well, less of those that
-        // have it well. Silence counts for less, ours too.
-        double doubt = 0;
-        Time found = 0;  // of these, the youngest finding
-        Time until = 0;  // and when the last of their words is over
-        int shut_by = 0, well_by = 0;
+    struct Suspicion {
+        // Sum of the weights of origins that observe it failing, later than anybody last observed it healthy,
+        // minus those that observe it healthy. Unresponsive counts less, also if it is our own observation.
+        double score = 0;
+        Time last_failure = 0;  // latest observation among these
+        Time expires_at = 0;    // when the last of these expires
+        int failing_count = 0;  // origins with a live observation of failure
+        int healthy_count = 0;  // origins with a live observation of health
     };
-    Doubt doubt_of(Time now, const std::string& host) const;
-    // Hosts whose doubt may have changed since it was last asked, each once.
-    std::vector<std::string> changed(Time now);
-    // When a word's life is over next, or none.
-    Time next(Time now) const;
+    Suspicion suspicion_of(Time now, const std::string& host) const;
+    // Hosts whose suspicion may have changed since the last call, each once.
+    std::vector<std::string> take_changed(Time now);
+    Time next_timer(Time now) const;  // when an observation expires, is repeated or falls due next
 
-    double weight(Time now, const std::string& origin) const;  // 0 to 1
-    // All that hold now, for a list of everything and for whoever looks.
-    std::vector<HostWord> all(Time now) const;
+    double weight(Time now, const std::string& origin) const;  // from `min_weight` to 1
+    // All live ones, our own included.
+    std::vector<HostObservation> live_observations(Time now) const;
     const std::string& self() const { return self_; }
 
   private:
-    struct About {
-        std::map<std::string, HostWord> by_origin;  // others' alone
-        HostWord own{};                             // life 0: none
-        Time told_at = 0, well_at = 0;              // our word; our last good answer
-        int out = 0;                                // executions of ours
-        Time waiting = 0;  // for any answer since then, while some are out; 0: none, or it is told
+    struct HostRecord {
+        std::map<std::string, HostObservation> by_origin;  // peers' only
+        HostObservation own{};                             // time_to_live 0: none
+        Time published_at = 0;                             // our own observation
+        Time last_success = 0;                             // our own
+        int in_flight = 0;                                 // attempts of ours
+        Time waiting = 0;  // since when any response is awaited; 0: none is, or its absence is published
         bool changed = false;
-        std::map<std::string, std::uint64_t> wrong{};  // words that have cost their origin, by rank
+        std::map<std::string, std::uint64_t> wrong{};  // by origin: last sequence number that cost it weight
     };
-    void learn(Time now, const std::string& origin, bool right);
-    void contradict(Time now, About& about, Time well);
-    void answered(Time now, const std::string& host, About& about, bool well);
-    Time patience() const;
-    double worth(Time now, const HostWord& word) const;  // of its doubt
-    Doubt doubt_of(Time now, const About& about) const;
-    double unrefuted(Time now, const std::string& origin) const;
-    void say_well(Time now, const std::string& host, About& about);
-    bool said_enough(Time now, const About& about) const;
+    void adjust_weight(Time now, const std::string& origin, bool right);
+    // The host was healthy at `healthy_at`: peers that observed it failing shortly before lose weight.
+    void refute_peers(Time now, HostRecord& record, Time healthy_at);
+    void attempt_finished(Time now, const std::string& host, HostRecord& record, bool succeeded);
+    Time response_timeout() const;
+    double contribution(Time now, const HostObservation& observation) const;  // to the score
+    Suspicion suspicion_of(Time now, const HostRecord& record) const;
+    double unrefuted_fraction(Time now, const std::string& origin) const;
+    void report_healthy(Time now, const std::string& host, HostRecord& record);
+    bool enough_peers_agree(Time now, const HostRecord& record) const;
 
-    WordTerms terms_;
+    ObservationOptions options_;
     std::string self_;
-    std::uint64_t rank_;
-    std::map<std::string, About> about_;
-    double usual_ = 0, swing_ = 0;  // time of a piece, of all hosts; 0: none has been delivered yet
+    std::uint64_t last_sequence_;
+    std::map<std::string, HostRecord> records_;  // by host
+    // Moving averages over successful attempts at all hosts; 0: none yet.
+    double average_latency_ = 0;
+    double latency_deviation_ = 0;
     struct Weight {
         double lost = 0;
         Time at = 0;
     };
     std::map<std::string, Weight> weights_;
-    std::vector<HostWord> telling_;
+    std::vector<HostObservation> outgoing_;
 };
 
 }  // namespace dewweir::verdicts
--- a/src/verdicts/list_words.cpp
+++ b/src/verdicts/list_words.cpp
@@ -11,105 +11,112 @@
 namespace dewweir::verdicts {
 namespace {
 
-using members::take;
+using members::read_field;
 using nlohmann::json;
 
-const std::string about_list = "list/";
+const std::string key_prefix = "list/";
 
-members::Word word_of(const ListedHost& is, std::uint64_t revision, Time born, Time life) {
+members::GossipItem item_of(const ListedHost& listed, std::uint64_t revision, Time created_at,
+                            Time time_to_live) {
     std::string bytes;
-    json::to_cbor({{"h", is.host}, {"r", is.ready}, {"u", is.up_since}}, bytes);
-    return {about_list + is.host, revision, born, life, bytes};
+    json::to_cbor({{"h", listed.host}, {"r", listed.ready}, {"u", listed.up_since}}, bytes);
+    return {key_prefix + listed.host, revision, created_at, time_to_live, bytes};
 }
 
-bool read(const members::Word& word, ListedHost& into) {
-    const json told = members::carried_by(word);
-    if (!told.is_object() || !take(told, "h", into.host) || !take(told, "r", into.ready) ||
-        !take(told, "u", into.up_since))
+bool read(const members::GossipItem& item, ListedHost& into) {
+    const json fields = members::decode_payload(item);
+    if (!fields.is_object() || !read_field(fields, "h", into.host) || !read_field(fields, "r", into.ready) ||
+        !read_field(fields, "u", into.up_since))
         return false;
-    return word.key == about_list + into.host;
+    return item.key == key_prefix + into.host;
 }
 
 }  // namespace
 
-bool ListWords::is_one(const members::Word& word) { return word.key.rfind(about_list, 0) == 0; }
+bool HostListReports::is_item(const members::GossipItem& item) { return item.key.rfind(key_prefix, 0) == 0; }
 
-void ListWords::note(Time now, const ListedHost& before, const ListedHost& is) {
-    // A host that is new, or back as it was, is nobody's hurry: only what must not be sent to is told.
-    const bool worse = (before.ready && !is.ready) || is.up_since > before.up_since;
-    // Told to all at once, all would say it: those whom the word has reached already need not.
-    const auto there = heard_.find(is.host);
-    if (!worse || (there != heard_.end() && there->second.word.rank >= revision_)) return;
-    telling_.push_back(told_[is.host] = word_of(is, revision_, now, life_));
+void HostListReports::publish_change(Time now, const ListedHost& before, const ListedHost& after) {
+    // Only changes that should keep requests away are published; a new or recovered host is not urgent.
+    const bool worse = (before.ready && !after.ready) || after.up_since > before.up_since;
+    // Discovery informs all gateways at about the same time: one that an equal report has already reached
+    // does not publish its own.
+    const auto there = peer_entries_.find(after.host);
+    if (!worse || (there != peer_entries_.end() && there->second.item.sequence >= revision_)) return;
+    outgoing_.push_back(own_items_[after.host] = item_of(after, revision_, now, time_to_live_));
 }
 
-void ListWords::told(Time now, std::uint64_t revision, bool whole, const std::vector<ListedHost>& hosts) {
-    const bool first = ours_.empty();
+void HostListReports::update_own_list(Time now, std::uint64_t revision, bool complete,
+                                      const std::vector<ListedHost>& hosts) {
+    const bool first = own_list_.empty();
     revision_ = revision;
     std::set<std::string> named;
     for (const ListedHost& one : hosts) {
         named.insert(one.host);
-        const auto [at, fresh] = ours_.try_emplace(one.host, one);
-        if (!first && !fresh) note(now, at->second, one);
+        const auto [at, fresh] = own_list_.try_emplace(one.host, one);
+        if (!first && !fresh) publish_change(now, at->second, one);
         at->second = one;
     }
-    for (auto& [host, one] : ours_) {
-        if (!whole || named.contains(host) || !one.ready) continue;
+    for (auto& [host, one] : own_list_) {
+        if (!complete || named.contains(host) || !one.ready) continue;
         const ListedHost before = std::exchange(one, {host, false, one.up_since});
-        note(now, before, one);
+        publish_change(now, before, one);
     }
-    if (whole) std::erase_if(ours_, [&](const auto& each) { return !named.contains(each.first); });
-    // Ours is as late as these now.
-    std::erase_if(heard_, [&](const auto& each) {
-        const bool known = each.second.word.rank <= revision_;
+    if (complete) std::erase_if(own_list_, [&](const auto& each) { return !named.contains(each.first); });
+    // Reports that our own list now includes.
+    std::erase_if(peer_entries_, [&](const auto& each) {
+        const bool known = each.second.item.sequence <= revision_;
         if (known) changed_.push_back(each.first);
         return known;
     });
 }
 
-bool ListWords::came(Time now, const members::Word& word) {
-    ListedHost is;
-    if (word.past(now) || word.life > 2 * life_ || word.rank <= revision_ || !read(word, is)) return false;
-    const auto at = heard_.find(is.host);
-    if (at != heard_.end() && at->second.word.rank >= word.rank) return false;
-    heard_[is.host] = {word, is};
-    changed_.push_back(is.host);
+bool HostListReports::receive(Time now, const members::GossipItem& item) {
+    ListedHost listed;
+    if (item.is_expired(now) || item.time_to_live > 2 * time_to_live_ || item.sequence <= revision_ ||
+        !read(item, listed))
+        return false;
+    const auto at = peer_entries_.find(listed.host);
+    if (at != peer_entries_.end() && at->second.item.sequence >= item.sequence) return false;
+    peer_entries_[listed.host] = {item, listed};
+    changed_.push_back(listed.host);
     return true;
 }
 
-std::vector<members::Word> ListWords::to_tell() { return std::exchange(telling_, {}); }
+std::vector<members::GossipItem> HostListReports::take_outgoing() { return std::exchange(outgoing_, {}); }
 
-ListWords::Said ListWords::said_of(Time now, const std::string& host) const {
-    const auto at = heard_.find(host);
-    if (at == heard_.end() || at->second.word.past(now) || at->second.word.rank <= revision_) return {};
-    const auto known = ours_.find(host);
-    const bool later = known != ours_.end() && at->second.is.up_since > known->second.up_since;
-    return {!at->second.is.ready, later ? at->second.is.up_since : 0,
-            at->second.word.born + at->second.word.life};
+HostListReports::Report HostListReports::report_of(Time now, const std::string& host) const {
+    const auto at = peer_entries_.find(host);
+    if (at == peer_entries_.end() || at->second.item.is_expired(now) || at->second.item.sequence <= revision_)
+        return {};
+    const auto known = own_list_.find(host);
+    const bool later = known != own_list_.end() && at->second.listed.up_since > known->second.up_since;
+    return {!at->second.listed.ready, later ? at->second.listed.up_since : 0,
+            at->second.item.created_at + at->second.item.time_to_live};
 }
 
-std::vector<std::string> ListWords::changed(Time now) {
-    std::erase_if(told_, [now](const auto& each) { return each.second.past(now); });
-    std::erase_if(heard_, [&](const auto& each) {
-        if (each.second.word.past(now)) changed_.push_back(each.first);
-        return each.second.word.past(now);
+std::vector<std::string> HostListReports::take_changed(Time now) {
+    std::erase_if(own_items_, [now](const auto& each) { return each.second.is_expired(now); });
+    std::erase_if(peer_entries_, [&](const auto& each) {
+        if (each.second.item.is_expired(now)) changed_.push_back(each.first);
+        return each.second.item.is_expired(now);
     });
     return std::exchange(changed_, {});
 }
 
-Time ListWords::next(Time now) const {
+Time HostListReports::next_timer(Time now) const {
     Time at = std::numeric_limits<Time>::max();
-    for (const auto& [host, one] : heard_) at = std::min(at, one.word.born + one.word.life);
+    for (const auto& [host, one] : peer_entries_)
+        at = std::min(at, one.item.created_at + one.item.time_to_live);
     return std::max(at, now + 1);
 }
 
-std::vector<members::Word> ListWords::all(Time now) const {
-    std::vector<members::Word> all;
-    for (const auto& [host, word] : told_)
-        if (!word.past(now)) all.push_back(word);
-    for (const auto& [host, one] : heard_)
-        if (!one.word.past(now)) all.push_back(one.word);
-    return all;
+std::vector<members::GossipItem> HostListReports::live_items(Time now) const {
+    std::vector<members::GossipItem> live;
+    for (const auto& [host, item] : own_items_)
+        if (!item.is_expired(now)) live.push_back(item);
+    for (const auto& [host, one] : peer_entries_)
+        if (!one.item.is_expired(now)) live.push_back(one.item);
+    return live;
 }
 
 }  // namespace dewweir::verdicts
--- a/tests/limits/rights.cpp
+++ b/tests/limits/rights.cpp
@@ -19,7 +19,7 @@
 const QuotaLendingOptions terms;
 
 // `by` lacks, `from` lends as much as is asked: the word of the loan.
-members::Word loan_to(QuotaLending& by, QuotaLending& from, Time now, double units) {
+members::GossipItem loan_to(QuotaLending& by, QuotaLending& from, Time now, double units) {
     by.report_shortage(now, part, units);
     const auto wants = by.take_outgoing(now);
     REQUIRE(wants.size() == 1);
@@ -37,7 +37,7 @@
 
 TEST_CASE("a want is answered once, a loan is taken once, by whom it is for, and not past its life") {
     QuotaLending a(terms, "a", 1000, 1), b(terms, "b", 1000, 2), c(terms, "c", 1000, 3);
-    const members::Word loan = loan_to(a, b, 100, 3);
+    const members::GossipItem loan = loan_to(a, b, 100, 3);
     CHECK_FALSE(b.receive(200, loan));  // its own, by another's mouth
     CHECK(c.receive(200, loan));        // passed on
     CHECK_FALSE(c.receive(200, loan));
@@ -51,8 +51,8 @@
     CHECK(taken[0].expires_at == LoanBalance::expiry_of(100));
     // Long after, by a link that made it young again: its lender's later ones are taken, it is not.
     a.take_outgoing(100 + 2 * terms.life);
-    members::Word again = loan;
-    again.born = 100 + 2 * terms.life;
+    members::GossipItem again = loan;
+    again.created_at = 100 + 2 * terms.life;
     a.receive(100 + 2 * terms.life, again);
     CHECK(a.take_loans().empty());
     CHECK_FALSE(a.receive(100 + terms.life, loan));
@@ -60,12 +60,12 @@
 
 TEST_CASE("what an earlier process of ours asked for is not ours, and a lender that comes back lends anew") {
     QuotaLending a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
-    const members::Word loan = loan_to(a, b, 100, 3);
+    const members::GossipItem loan = loan_to(a, b, 100, 3);
     QuotaLending later(terms, "a", 2000, 1);
     later.receive(200, loan);
     CHECK(later.take_loans().empty());
     QuotaLending again(terms, "b", 2000, 2);
-    const members::Word other = loan_to(later, again, 60000, 2);
+    const members::GossipItem other = loan_to(later, again, 60000, 2);
     later.receive(60100, other);
     CHECK(later.take_loans().size() == 1);
 }
@@ -75,7 +75,7 @@
     int told = 0;
     for (Time now = 100; now < 400000; now += 500) {
         a.report_shortage(now, part, 1);
-        for (const members::Word& want : a.take_outgoing(now)) {
+        for (const members::GossipItem& want : a.take_outgoing(now)) {
             ++told;
             b.report_shortage(now, part, 1);
             b.receive(now, want);
@@ -103,17 +103,17 @@
 
 TEST_CASE("words that are torn or nonsense are dropped") {
     QuotaLending a(terms, "a", 1000, 1), b(terms, "b", 1000, 2);
-    members::Word loan = loan_to(a, b, 100, 3);
-    for (std::size_t n = 0; n < loan.bytes.size(); ++n) {
-        members::Word torn = loan;
-        torn.bytes.resize(n);
+    members::GossipItem loan = loan_to(a, b, 100, 3);
+    for (std::size_t n = 0; n < loan.payload.size(); ++n) {
+        members::GossipItem torn = loan;
+        torn.payload.resize(n);
         a.receive(200, torn);
     }
-    members::Word other = loan;
+    members::GossipItem other = loan;
     other.key += "1";
     a.receive(200, other);
     other = loan;
-    other.life = 10 * terms.life;
+    other.time_to_live = 10 * terms.life;
     a.receive(200, other);
     CHECK(a.take_loans().empty());
 }
@@ -125,7 +125,7 @@
 // b lent it, once each.
 struct World {
     QuotaLending a{terms, "a", 1000, 1}, b{terms, "b", 1000, 2};
-    std::vector<members::Word> flying;
+    std::vector<members::GossipItem> flying;
     Time now = 100000;
     std::uint64_t started = 1000;
     std::multiset<double> lent, credited;
@@ -145,20 +145,20 @@
     const auto step = [&](const std::function<void(World&)>& what) {
         World then = world;
         what(then);
-        for (const members::Word& word : then.a.take_outgoing(then.now)) then.flying.push_back(word);
+        for (const members::GossipItem& word : then.a.take_outgoing(then.now)) then.flying.push_back(word);
         // Each loan is of another amount, so that it is known again.
         for (const LoanRequest& want : then.b.take_requests()) {
             then.lent.insert(then.next);
             then.b.record_loan(then.now, want, then.next++, LoanBalance::expiry_of(then.now));
         }
-        for (const members::Word& word : then.b.take_outgoing(then.now)) then.flying.push_back(word);
+        for (const members::GossipItem& word : then.b.take_outgoing(then.now)) then.flying.push_back(word);
         for (const Loan& loan : then.a.take_loans()) then.credited.insert(loan.units);
         explore(then, depth - 1, forgets, found);
     };
     if (world.flying.size() < 3) step([](World& w) { w.a.report_shortage(w.now, part, 1); });
     for (std::size_t n = 0; n < world.flying.size(); ++n) {
         const auto arrives = [n, forgets](World& w) {
-            const members::Word word = w.flying[n];
+            const members::GossipItem word = w.flying[n];
             if (forgets) w.a = QuotaLending(terms, "a", 1000, 1);  // the fault that must be found
             w.a.receive(w.now, word), w.b.receive(w.now, word);
         };
--- a/tests/members/members.cpp
+++ b/tests/members/members.cpp
@@ -1,4 +1,4 @@
-// Who is there, in virtual time: joins, deaths, pauses, cuts, losses, two under one name.
+// Membership in virtual time: joins, deaths, pauses, partitions, loss, and two processes under one name.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -12,7 +12,7 @@
 
 namespace {
 
-World fleet(std::uint32_t seed, std::size_t n, const Air& network = {}) {
+World fleet(std::uint32_t seed, std::size_t n, const NetworkConditions& network = {}) {
     World world(seed);
     world.network = network;
     for (std::size_t k = 0; k < n; ++k) world.add();
@@ -21,19 +21,22 @@
 
 }  // namespace
 
-TEST_CASE("all find all, started at once or one by one, through loss, doubles and a seed that comes last") {
+TEST_CASE(
+    "all members find each other, started together or in sequence, despite loss, duplicates and a late "
+    "seed") {
     for (const double loss : {0.0, 0.2, 0.4}) {
-        Air network{.loss = loss, .doubled = 0.2};
-        network.written_out = true;
+        NetworkConditions network{.loss = loss, .duplicated = 0.2};
+        network.encode = true;
         World world = fleet(1, 24, network);
         world.run(30 * a_second, [&] { return world.agree(world.names()); });
         CHECK(world.agree(world.names()));
-        CHECK(world.misread == 0);
-        CHECK(world.longest <= most_bytes);
+        CHECK(world.decode_errors == 0);
+        CHECK(world.longest <= max_datagram_bytes);
     }
     World late(2);
     for (int n = 0; n < 6; ++n) late.add();
-    late.kill(0), late.kill(1);  // both seeds, before a word of theirs
+    late.kill(0);
+    late.kill(1);  // both seeds, before they have sent anything
     late.run(20 * a_second);
     late.restart(0);
     late.run(60 * a_second, [&] { return late.agree(late.names()); });
@@ -41,9 +44,10 @@
 }
 
 TEST_CASE(
-    "nobody that lives is held for dead: loss, doubles, a pause of some seconds, a way that is cut one way") {
+    "no live member is declared dead through loss, duplicates, a pause of seconds or a one-way network "
+    "fault") {
     for (const double loss : {0.0, 0.05, 0.2}) {
-        World world = fleet(3, 24, {.loss = loss, .doubled = 0.1});
+        World world = fleet(3, 24, {.loss = loss, .duplicated = 0.1});
         world.run(300 * a_second);
         CHECK_MESSAGE(world.deaths.empty(), "loss " << loss);
         CHECK(world.agree(world.names()));
@@ -68,7 +72,7 @@
     CHECK(world.agree(world.names()));
 }
 
-TEST_CASE("one that dies is found within the bound, at every loss, by all; one that leaves, at once") {
+TEST_CASE("a death is found by all within the bound at every loss; a leave is known at once") {
     for (const std::size_t n : {3, 8, 24})
         for (const double loss : {0.0, 0.05, 0.2}) {
             World world = fleet(5, n, {.loss = loss});
@@ -77,7 +81,7 @@
             const Time died = world.now;
             world.kill(n - 1);
             const Bounds bounds =
-                bounds_of(world.terms, {.members = n, .loss = loss, .delay = 2 * a_ms}, 0.999);
+                bounds_of(world.options, {.members = n, .loss = loss, .delay = 2 * a_ms}, 0.999);
             world.run(bounds.dead, [&] { return world.agree(world.names()); });
             CHECK_MESSAGE(world.agree(world.names()), n << " members, loss " << loss);
             CHECK(world.now - died <= bounds.dead);
@@ -93,7 +97,7 @@
     CHECK(world.deaths.empty());
 }
 
-TEST_CASE("a restart under the same name counts at once; incarnations never go back") {
+TEST_CASE("a restart under the same name takes effect at once, and incarnations never decrease") {
     World world = fleet(7, 8);
     std::map<std::pair<std::size_t, std::string>, std::pair<std::uint64_t, std::uint32_t>> held;
     world.run(20 * a_second);
@@ -101,9 +105,9 @@
         world.restart(3);
         world.run(a_second);
         for (std::size_t n = 0; n < 8; ++n)
-            for (const auto& [name, one] : world.all[n].it->all()) {
-                auto& last = held[{n * 100 + static_cast<std::size_t>(world.all[n].life), name}];
-                const std::pair now{one.is.instance, one.is.incarnation};
+            for (const auto& [name, one] : world.all[n].it->others()) {
+                auto& last = held[{n * 100 + static_cast<std::size_t>(world.all[n].restarts), name}];
+                const std::pair now{one.update.instance, one.update.incarnation};
                 CHECK(now >= last);
                 last = now;
             }
@@ -111,18 +115,18 @@
     world.run(10 * a_second);
     CHECK(world.agree(world.names()));
     CHECK(world.deaths.empty());
-    // A clock that was set back: it comes after the one before it all the same.
-    world.all[3].it = std::make_unique<Members>(world.terms, Update{"m3", World::address(3), 1},
+    // A process whose clock was set back still takes over from the earlier one.
+    world.all[3].it = std::make_unique<Members>(world.options, Update{"m3", World::address(3), 1},
                                                 std::vector<Address>{World::address(0)}, 5, world.now);
     world.all[3].sequence += 1000;
-    world.all[3].seen = {};
-    for (auto& one : world.all) one.seen = {};
+    world.all[3].replay_filter = {};
+    for (auto& one : world.all) one.replay_filter = {};
     world.flush(3);
     world.run(60 * a_second);
     CHECK(world.agree(world.names()));
 }
 
-TEST_CASE("two under one name: the older one is told, and says nothing more") {
+TEST_CASE("of two processes with one name the earlier one learns of it and stops sending") {
     World world = fleet(8, 8);
     world.run(20 * a_second);
     const std::size_t twin = world.add("m2");
@@ -138,7 +142,8 @@
 }
 
 TEST_CASE(
-    "a branch cut off for twenty seconds, or until all hold it for dead, and healed: all find all again") {
+    "after a partition of 20 s, or one until all hold the other side dead, all members find each other "
+    "again") {
     for (const int seconds : {20, 200}) {
         World world = fleet(9, 24, {.loss = 0.05});
         world.run(20 * a_second);
@@ -147,9 +152,9 @@
             return !cut || (from < 8) == (to < 8);
         };
         world.run(seconds * a_second);
-        // Eight of 24 are under half, and most of them know it; of the others none takes itself for cut off.
+        // The 8 of 24 are under half and find so; none of the other 16 considers itself cut off.
         for (std::size_t n = 0; n < 24; ++n) {
-            const std::size_t reached = world.all[n].it->reached();
+            const std::size_t reached = world.all[n].it->reachable_count();
             if (n >= 8) CHECK(2 * reached >= 24);
             else if (seconds > 100) CHECK(2 * reached < 24);
         }
@@ -164,10 +169,11 @@
 }
 
 TEST_CASE(
-    "with a fifth lost, the smaller side of a cut knows it within a minute, the greater never says so") {
+    "with 20% loss the smaller side of a partition knows it within a minute, the larger one never claims "
+    "it") {
     for (const auto& [all, branch] : {std::pair<std::size_t, std::size_t>{8, 2}, {24, 8}})
         for (std::uint32_t seed = 20; seed < 25; ++seed) {
-            World world = fleet(seed, all, {.loss = 0.2, .doubled = 0.1});
+            World world = fleet(seed, all, {.loss = 0.2, .duplicated = 0.1});
             world.run(20 * a_second);
             world.network.passes = [&](std::size_t from, std::size_t to) {
                 return (from < branch) == (to < branch);
@@ -176,14 +182,14 @@
             for (int n = 0; n < 60; ++n) {
                 world.run(a_second);
                 for (std::size_t k = 0; k < all; ++k)
-                    if (2 * world.all[k].it->reached() < all) know.insert(k);
+                    if (2 * world.all[k].it->reachable_count() < all) know.insert(k);
             }
             CHECK_MESSAGE(know.size() == branch, all << " members, seed " << seed);
             CHECK(*know.rbegin() == branch - 1);
         }
 }
 
-TEST_CASE("a full restart, all at once") {
+TEST_CASE("a full restart of all members at once") {
     World world = fleet(10, 24, {.loss = 0.05});
     world.run(20 * a_second);
     for (std::size_t n = 0; n < 24; ++n) world.kill(n);
@@ -194,26 +200,27 @@
     CHECK(world.deaths.empty());
 }
 
-TEST_CASE("the count: up at once, down once it has lasted, steady where one flaps, as it was behind a cut") {
-    const LiveTerms terms;
-    Live live(terms);
+TEST_CASE(
+    "the stable count rises at once, falls with a delay, ignores flapping and is kept during a partition") {
+    const LiveCountOptions options;
+    LiveCount live(options);
     Time now = 0;
     const auto see = [&](std::size_t n, Time most) {
-        for (const Time end = now + most; now < end; now += a_second) live.see(now, n);
+        for (const Time end = now + most; now < end; now += a_second) live.update(now, n);
     };
     see(8, 60 * a_second);
     CHECK(live.count() == 8);
     see(9, a_second);
     CHECK(live.count() == 9);
-    for (int n = 0; n < 60; ++n) {  // one that comes and goes
+    for (int n = 0; n < 60; ++n) {  // a flapping member
         see(8, 3 * a_second);
         CHECK(live.count() == 9);
         see(9, 2 * a_second);
         CHECK(live.count() == 9);
     }
-    see(6, terms.hold - a_second);
+    see(6, options.fall_delay - a_second);
     CHECK(live.count() == 9);
-    see(6, terms.moment);
+    see(6, options.cut_window);
     CHECK(live.count() == 6);
     CHECK_FALSE(live.cut_off());
     see(4, 100 * a_second);
@@ -224,32 +231,32 @@
     see(2, a_second);
     CHECK_FALSE(live.cut_off());
     see(4, 100 * a_second);
-    see(1, terms.partition_for + 2 * a_second);  // for good: it is what there is
+    see(1, options.partition_for + 2 * a_second);  // permanent: taken for the actual size
     CHECK_FALSE(live.cut_off());
     CHECK(live.count() == 1);
 }
 
-TEST_CASE("the bound on news holds as often as it says, at every size and loss") {
+TEST_CASE("the bound on the spread of an item holds with its stated probability at every size and loss") {
     for (const std::size_t n : {3, 8, 24})
         for (const double loss : {0.05, 0.2, 0.4}) {
-            const MembersTerms terms;
-            const Bounds bounds = bounds_of(terms, {.members = n, .loss = loss, .delay = 2 * a_ms}, 0.99);
+            const MembersOptions options;
+            const Bounds bounds = bounds_of(options, {.members = n, .loss = loss, .delay = 2 * a_ms}, 0.99);
             int late = 0;
             constexpr int plays = 60;
             for (std::uint32_t seed = 1; seed <= plays; ++seed) {
                 World world = fleet(seed, n, {.loss = loss});
-                std::set<std::size_t> heard;
+                std::set<std::size_t> informed;
                 for (std::size_t k = 0; k < n; ++k)
-                    world.all[k].it->on_word = [&world, &heard, k](Time, const std::string&,
-                                                                   const Word& word) {
-                        if (heard.insert(k).second) world.all[k].it->tell(word);
+                    world.all[k].it->on_item = [&world, &informed, k](Time, const std::string&,
+                                                                      const GossipItem& item) {
+                        if (informed.insert(k).second) world.all[k].it->publish(item);
                     };
                 world.run(20 * a_second, [&] { return world.agree(world.names()); });
                 world.run(5 * a_second);
-                heard.insert(0);
-                world.all[0].it->tell({"key", 1, world.now, 600 * a_second, "bytes"});
-                world.run(bounds.spread, [&] { return heard.size() == n; });
-                late += heard.size() < n;
+                informed.insert(0);
+                world.all[0].it->publish({"key", 1, world.now, 600 * a_second, "bytes"});
+                world.run(bounds.spread, [&] { return informed.size() == n; });
+                late += informed.size() < n;
             }
             CHECK_MESSAGE(late <= 4, n << " members, loss " << loss << ": " << late << " of " << plays);
         }
@@ -261,7 +268,10 @@
     const std::size_t n = std::strtoul(std::getenv("DEWWEIR_MEMBERS"), nullptr, 10);
     for (const bool refined : {false, true}) {
         World world(21);
-        if (!refined) world.terms.most_doubt = 0, world.terms.beta = 1;
+        if (!refined) {
+            world.options.max_health_score = 0;
+            world.options.suspicion_beta = 1;
+        }
         for (std::size_t k = 0; k < n; ++k) world.add();
         world.network.loss = 0.01;
         world.run(120 * a_second, [&] { return world.agree(world.names()); });
@@ -296,7 +306,8 @@
             first.push_back(static_cast<double>(seen - died) / a_second);
             all.push_back(static_cast<double>(world.now - died) / a_second);
         }
-        std::sort(first.begin(), first.end()), std::sort(all.begin(), all.end());
+        std::sort(first.begin(), first.end());
+        std::sort(all.begin(), all.end());
         std::cout << n << (refined ? " members, Lifeguard: " : " members, SWIM: ") << "joined in " << joined
                   << " s, " << packets << " packets a second each; held dead by slow members " << falsely
                   << ", of these healthy ones " << of_healthy << "; a death is first held after " << first[2]
--- a/tests/verdicts/count_words.cpp
+++ b/tests/verdicts/count_words.cpp
@@ -1,5 +1,5 @@
-// Words of the counter's totals: two origins at least, the later over the earlier, and no more said than is
-// news.
+// Counter totals: at least two origins are needed, later items replace earlier ones, and only significant
+// changes are published.
 #include "verdicts/count_words.h"
 
 #include <doctest/doctest.h>
@@ -12,69 +12,70 @@
 
 namespace {
 
-const CountTerms terms;
+const CounterTotalOptions terms;
 constexpr std::uint64_t name = 7ULL << 30 | 5;
 
-members::Word word_of(const std::string& by, Time at, double total) {
-    CountWords origin(terms, by);
-    CHECK(origin.told(at, name, total));
-    return origin.to_tell().at(0);
+members::GossipItem word_of(const std::string& by, Time at, double total) {
+    CounterTotals origin(terms, by);
+    CHECK(origin.record(at, name, total));
+    return origin.take_outgoing().at(0);
 }
 
 }  // namespace
 
 TEST_CASE(
-    "what two others were told is known, what one was is not; a later word replaces; all ends with its "
-    "life") {
-    CountWords ours(terms, "me");
-    CHECK(ours.came(0, word_of("a", 0, 12)));
-    CHECK(ours.known(0, name) == 0);
-    CHECK(ours.came(10, word_of("b", 10, 9)));
-    CHECK(ours.known(10, name) == 9);
-    CHECK(ours.came(20, word_of("b", 20, 14)));
-    CHECK(ours.known(20, name) == 12);
-    CHECK_FALSE(ours.came(30, word_of("b", 30, 10)));     // before what it said
-    CHECK_FALSE(ours.came(30, word_of("me", 30, 1000)));  // ours, by another's mouth
-    CHECK(ours.came(30, word_of("liar", 30, 1e9)));       // one alone moves it no further than another has it
-    CHECK(ours.known(30, name) == 14);
-    CHECK(ours.known(20 + terms.life, name) == 0);
-    ours.forget(30 + terms.life);
-    CHECK(ours.all(30 + terms.life).empty());
+    "a total that two peers have is corroborated, a single one is not; later items replace, and all expire") {
+    CounterTotals ours(terms, "me");
+    CHECK(ours.receive(0, word_of("a", 0, 12)));
+    CHECK(ours.corroborated(0, name) == 0);
+    CHECK(ours.receive(10, word_of("b", 10, 9)));
+    CHECK(ours.corroborated(10, name) == 9);
+    CHECK(ours.receive(20, word_of("b", 20, 14)));
+    CHECK(ours.corroborated(20, name) == 12);
+    CHECK_FALSE(ours.receive(30, word_of("b", 30, 10)));     // older than its last
+    CHECK_FALSE(ours.receive(30, word_of("me", 30, 1000)));  // our own, passed on by a peer
+    CHECK(
+        ours.receive(30, word_of("liar", 30, 1e9)));  // a single origin cannot raise it above another's total
+    CHECK(ours.corroborated(30, name) == 14);
+    CHECK(ours.corroborated(20 + terms.time_to_live, name) == 0);
+    ours.remove_expired(30 + terms.time_to_live);
+    CHECK(ours.live_items(30 + terms.time_to_live).empty());
 }
 
-TEST_CASE("words come to the same in any order; torn, foreign and endless ones are none") {
+TEST_CASE(
+    "any order of items gives the same totals; truncated, foreign and too long-lived items are rejected") {
     boost::random::mt19937 chance(3);
-    std::vector<members::Word> said;
+    std::vector<members::GossipItem> said;
     for (int n = 0; n < 12; ++n) said.push_back(word_of("g" + std::to_string(n % 4), 0, 4 + n * n % 17));
-    CountWords once(terms, "me");
-    for (const members::Word& one : said) once.came(1, one);
+    CounterTotals once(terms, "me");
+    for (const members::GossipItem& one : said) once.receive(1, one);
     for (int order = 0; order < 20; ++order) {
         for (std::size_t n = said.size(); n > 1; --n) std::swap(said[n - 1], said[chance() % n]);
-        CountWords again(terms, "me");
+        CounterTotals again(terms, "me");
         for (int times = 0; times < 2; ++times)
-            for (const members::Word& one : said) again.came(1, one);
-        CHECK(again.known(1, name) == once.known(1, name));
+            for (const members::GossipItem& one : said) again.receive(1, one);
+        CHECK(again.corroborated(1, name) == once.corroborated(1, name));
     }
-    const members::Word whole = word_of("x", 0, 50);
-    members::Word torn = whole, foreign = whole, endless = whole, ahead = whole;
-    torn.bytes.pop_back();
+    const members::GossipItem whole = word_of("x", 0, 50);
+    members::GossipItem torn = whole, foreign = whole, endless = whole, ahead = whole;
+    torn.payload.pop_back();
     foreign.key += "y";
-    endless.life = 3 * terms.life;
-    ahead.rank += 1;
-    for (const members::Word& one : {torn, foreign, endless, ahead}) CHECK_FALSE(once.came(1, one));
-    CHECK_FALSE(once.came(terms.life, whole));
+    endless.time_to_live = 3 * terms.time_to_live;
+    ahead.sequence += 1;
+    for (const members::GossipItem& one : {torn, foreign, endless, ahead}) CHECK_FALSE(once.receive(1, one));
+    CHECK_FALSE(once.receive(terms.time_to_live, whole));
 }
 
-TEST_CASE("little, nearly the same, and what two others say already is no news") {
-    CountWords ours(terms, "me");
-    CHECK_FALSE(ours.told(0, name, terms.least / 2));
-    CHECK(ours.told(0, name, 10));
-    CHECK_FALSE(ours.told(0, name, 10 * (terms.growth + 1) / 2));
-    CHECK(ours.told(0, name, 10 * terms.growth));
-    CHECK(ours.to_tell().size() == 2);
-    ours.came(0, word_of("a", 0, 100));
-    CHECK(ours.told(0, name, 100));
-    ours.came(0, word_of("b", 0, 200));
-    ours.came(0, word_of("a", 0, 200));
-    CHECK_FALSE(ours.told(0, name, 210));
+TEST_CASE("small totals, small growth and totals that two peers already report are not published") {
+    CounterTotals ours(terms, "me");
+    CHECK_FALSE(ours.record(0, name, terms.min_total / 2));
+    CHECK(ours.record(0, name, 10));
+    CHECK_FALSE(ours.record(0, name, 10 * (terms.min_growth + 1) / 2));
+    CHECK(ours.record(0, name, 10 * terms.min_growth));
+    CHECK(ours.take_outgoing().size() == 2);
+    ours.receive(0, word_of("a", 0, 100));
+    CHECK(ours.record(0, name, 100));
+    ours.receive(0, word_of("b", 0, 200));
+    ours.receive(0, word_of("a", 0, 200));
+    CHECK_FALSE(ours.record(0, name, 210));
 }
--- a/tests/verdicts/host_words.cpp
+++ b/tests/verdicts/host_words.cpp
@@ -1,4 +1,4 @@
-// Words of hosts: how they merge, age and weigh; who lies is heard less.
+// Host observations: merging, expiry and weights; an origin that reports falsely loses weight.
 #include "verdicts/host_words.h"
 
 #include <doctest/doctest.h>
@@ -13,61 +13,64 @@
 namespace {
 
 constexpr Time a_second = 10000;
-const WordTerms terms;
+const ObservationOptions terms;
 
-HostWord shut(const std::string& host, const std::string& by, Time born, std::uint64_t rank = 1) {
-    return {host, by, Finding::shut, rank, born, terms.life, born};
+HostObservation ejected(const std::string& host, const std::string& by, Time created_at,
+                        std::uint64_t sequence = 1) {
+    return {host, by, HostCondition::ejected, sequence, created_at, terms.time_to_live, created_at};
 }
-HostWord well(const std::string& host, const std::string& by, Time born, std::uint64_t rank = 1) {
-    return {host, by, Finding::well, rank, born, terms.life, born};
+HostObservation healthy(const std::string& host, const std::string& by, Time created_at,
+                        std::uint64_t sequence = 1) {
+    return {host, by, HostCondition::healthy, sequence, created_at, terms.time_to_live, created_at};
 }
 
 }  // namespace
 
-TEST_CASE("a word goes as it came; what is none is told apart") {
-    HostWord read;
-    REQUIRE(host_word_of(word_of(well("host-7", "g/1", 500, 9)), read));
+TEST_CASE("an observation survives encoding and decoding; other and truncated items are rejected") {
+    HostObservation read;
+    REQUIRE(host_observation_of(item_of(healthy("host-7", "g/1", 500, 9)), read));
     CHECK(read.host == "host-7");
     CHECK(read.origin == "g/1");
-    CHECK(read.finding == Finding::well);
-    CHECK(read.rank == 9);
-    CHECK(read.born == 500);
-    members::Word other = word_of(shut("h", "g", 1));
+    CHECK(read.condition == HostCondition::healthy);
+    CHECK(read.sequence == 9);
+    CHECK(read.created_at == 500);
+    members::GossipItem other = item_of(ejected("h", "g", 1));
     other.key = "quota/x";
-    CHECK_FALSE(host_word_of(other, read));
-    other = word_of(shut("h", "g", 1));
-    for (std::size_t n = 0; n < other.bytes.size(); ++n) {
-        members::Word torn = other;
-        torn.bytes.resize(n);
-        CHECK_FALSE(host_word_of(torn, read));
+    CHECK_FALSE(host_observation_of(other, read));
+    other = item_of(ejected("h", "g", 1));
+    for (std::size_t n = 0; n < other.payload.size(); ++n) {
+        members::GossipItem torn = other;
+        torn.payload.resize(n);
+        CHECK_FALSE(host_observation_of(torn, read));
     }
 }
 
-TEST_CASE("merging: any order, any number of times, to the same; and nothing counts past its life") {
-    boost::random::mt19937 chance(5);
-    const auto draw = [&](int most) { return boost::random::uniform_int_distribution<>(0, most)(chance); };
+TEST_CASE(
+    "merging in any order, any number of times, gives the same result, and nothing has effect once expired") {
+    boost::random::mt19937 rng(5);
+    const auto draw = [&](int most) { return boost::random::uniform_int_distribution<>(0, most)(rng); };
     for (int play = 0; play < 200; ++play) {
-        std::vector<HostWord> said;
+        std::vector<HostObservation> said;
         for (int n = 0; n < 14; ++n) {
             const std::string by = "g" + std::to_string(draw(3)), host = "h" + std::to_string(draw(1));
-            const auto rank = static_cast<std::uint64_t>(draw(5));
-            // One origin says one thing under one number.
-            const Time born = static_cast<Time>(rank) * 1000;
-            said.push_back((rank + by.size() + static_cast<std::uint64_t>(by[1])) % 2
-                               ? shut(host, by, born, rank)
-                               : well(host, by, born, rank));
+            const auto sequence = static_cast<std::uint64_t>(draw(5));
+            // An origin has one observation under one sequence number.
+            const Time created_at = static_cast<Time>(sequence) * 1000;
+            said.push_back((sequence + by.size() + static_cast<std::uint64_t>(by[1])) % 2
+                               ? ejected(host, by, created_at, sequence)
+                               : healthy(host, by, created_at, sequence));
         }
-        const auto told = [&](const std::vector<HostWord>& all) {
-            HostWords words(terms, "me", 1);
-            for (const HostWord& one : all) words.came(10000, one);
+        const auto told = [&](const std::vector<HostObservation>& all) {
+            HostObservations words(terms, "me", 1);
+            for (const HostObservation& one : all) words.receive(10000, one);
             std::string sum;
             for (const char* const host : {"h0", "h1"}) {
-                const auto doubt = words.doubt_of(10000, host);
-                sum += std::to_string(doubt.doubt) + " " + std::to_string(doubt.shut_by) + " " +
-                       std::to_string(doubt.well_by) + " " + std::to_string(doubt.found) + ";";
+                const auto doubt = words.suspicion_of(10000, host);
+                sum += std::to_string(doubt.score) + " " + std::to_string(doubt.failing_count) + " " +
+                       std::to_string(doubt.healthy_count) + " " + std::to_string(doubt.last_failure) + ";";
             }
-            const auto late = words.doubt_of(10000 + terms.life, "h0");
-            CHECK(late.shut_by + late.well_by == 0);
+            const auto late = words.suspicion_of(10000 + terms.time_to_live, "h0");
+            CHECK(late.failing_count + late.healthy_count == 0);
             return sum;
         };
         const std::string once = told(said);
@@ -80,166 +83,173 @@
     }
 }
 
-TEST_CASE("a word holds as long as its origin repeats it, and ages out when the origin is gone") {
-    HostWords one(terms, "g1", 100), two(terms, "g2", 100);
-    one.found(0, "h", Finding::shut);
+TEST_CASE("an observation lives while its origin repeats it, and expires when the origin is gone") {
+    HostObservations one(terms, "g1", 100), two(terms, "g2", 100);
+    one.observe(0, "h", HostCondition::ejected);
     Time now = 0;
     for (; now < 20 * a_second; now += a_second / 2) {
-        for (const HostWord& word : one.to_tell(now)) two.came(now, word);
-        CHECK(two.doubt_of(now, "h").shut_by == 1);
+        for (const HostObservation& word : one.take_outgoing(now)) two.receive(now, word);
+        CHECK(two.suspicion_of(now, "h").failing_count == 1);
     }
     const Time gone = now;
-    for (; now < gone + 2 * terms.life; now += a_second / 2)
-        if (now >= gone + terms.life) CHECK(two.doubt_of(now, "h").shut_by == 0);
-    CHECK(two.changed(now) == std::vector<std::string>{"h"});
-    // Back: one word says so, and no more is said.
-    one.found(now, "h", Finding::well);
-    CHECK(one.to_tell(now).size() == 1);
-    CHECK(one.to_tell(now + terms.life).empty());
-    one.changed(now + 10 * terms.life);
-    CHECK(one.all(now + 10 * terms.life).empty());
+    for (; now < gone + 2 * terms.time_to_live; now += a_second / 2)
+        if (now >= gone + terms.time_to_live) CHECK(two.suspicion_of(now, "h").failing_count == 0);
+    CHECK(two.take_changed(now) == std::vector<std::string>{"h"});
+    // Restored: published once, not repeated.
+    one.observe(now, "h", HostCondition::healthy);
+    CHECK(one.take_outgoing(now).size() == 1);
+    CHECK(one.take_outgoing(now + terms.time_to_live).empty());
+    one.take_changed(now + 10 * terms.time_to_live);
+    CHECK(one.live_observations(now + 10 * terms.time_to_live).empty());
 }
 
-TEST_CASE("a fresh answer of our own contradicts, and who was wrong weighs less until it is right again") {
-    HostWords words(terms, "me", 1);
+TEST_CASE(
+    "a fresh response of our own contradicts peers, and a wrong origin loses weight until it is right "
+    "again") {
+    HostObservations words(terms, "me", 1);
     Time now = a_second;
     for (std::uint64_t n = 1; n <= 12; ++n, now += a_second) {
-        // The liar calls a host dead that answers us.
-        words.came(now, shut("good", "liar", now, n));
-        words.ended(now + 100, "good", HostWords::End::well, 30);
-        const auto told = words.to_tell(now + 200);
+        // The origin `liar` reports a host as failing that answers us.
+        words.receive(now, ejected("good", "liar", now, n));
+        words.attempt_ended(now + 100, "good", HostObservations::AttemptResult::succeeded, 30);
+        const auto told = words.take_outgoing(now + 200);
         if (n == 1) REQUIRE(told.size() == 1);
-        if (n == 1) CHECK(told[0].finding == Finding::well);
+        if (n == 1) CHECK(told[0].condition == HostCondition::healthy);
     }
     CHECK(words.weight(now, "liar") < 0.75);
     const double lied = words.weight(now, "liar");
     for (std::uint64_t n = 1; n <= 12; ++n, now += a_second) {
-        words.came(now, shut("bad", "liar", now, 100 + n));
-        words.found(now + 100, "bad", Finding::shut);
+        words.receive(now, ejected("bad", "liar", now, 100 + n));
+        words.observe(now + 100, "bad", HostCondition::ejected);
     }
     CHECK(words.weight(now, "liar") > std::max(0.9, lied));
     CHECK(words.weight(now, "another") == 1);
 }
 
-TEST_CASE("one against another: the doubt is the difference, and says who") {
-    HostWords words(terms, "me", 1);
-    words.came(0, shut("h", "a", 0));
-    words.came(0, shut("h", "b", 10));
-    CHECK(words.doubt_of(20, "h").doubt == doctest::Approx(2));
-    CHECK(words.doubt_of(20, "h").found == 10);
-    words.came(20, well("h", "c", 20));  // found after them: it is well again, for all we know
-    CHECK(words.doubt_of(20, "h").doubt == doctest::Approx(-1));
-    words.came(30, shut("h", "a", 30, 2));
-    CHECK(words.doubt_of(30, "h").doubt == doctest::Approx(0));
-    words.came(30, shut("h", "b", 30, 2));
-    CHECK(words.doubt_of(30, "h").doubt == doctest::Approx(1));
-    words.ended(35, "h", HostWords::End::well, 30);  // ours says more than both
-    CHECK(words.doubt_of(35, "h").doubt == doctest::Approx(-1));
-    words.came(36, shut("h", "b", 36, 3));  // which weighs less by then
-    CHECK(words.doubt_of(36, "h").doubt == doctest::Approx(-0.3));
-    // Repeated, with nothing new seen: it says no more than it did.
-    HostWord repeated = shut("h", "a", 40, 3);
-    repeated.found = 30;
-    words.came(40, repeated);
-    CHECK(words.doubt_of(40, "h").doubt == doctest::Approx(-0.3));
-    CHECK_FALSE(words.came(40, shut("h", "a", 5, 1)));      // older than what it said since
-    CHECK_FALSE(words.came(40, shut("h", "me", 40, 999)));  // ours, by another's mouth
-    CHECK_FALSE(words.came(40, {"h", "d", Finding::shut, 1, 40, 100 * terms.life}));  // too long a life
+TEST_CASE("opposing observations: the suspicion score is the difference of their weights") {
+    HostObservations words(terms, "me", 1);
+    words.receive(0, ejected("h", "a", 0));
+    words.receive(0, ejected("h", "b", 10));
+    CHECK(words.suspicion_of(20, "h").score == doctest::Approx(2));
+    CHECK(words.suspicion_of(20, "h").last_failure == 10);
+    words.receive(20, healthy("h", "c", 20));  // observed after them: the host has recovered
+    CHECK(words.suspicion_of(20, "h").score == doctest::Approx(-1));
+    words.receive(30, ejected("h", "a", 30, 2));
+    CHECK(words.suspicion_of(30, "h").score == doctest::Approx(0));
+    words.receive(30, ejected("h", "b", 30, 2));
+    CHECK(words.suspicion_of(30, "h").score == doctest::Approx(1));
+    words.attempt_ended(35, "h", HostObservations::AttemptResult::succeeded,
+                        30);  // our own response overrides both
+    CHECK(words.suspicion_of(35, "h").score == doctest::Approx(-1));
+    words.receive(36, ejected("h", "b", 36, 3));  // with a reduced weight
+    CHECK(words.suspicion_of(36, "h").score == doctest::Approx(-0.3));
+    // A repetition without a new event adds nothing.
+    HostObservation repeated = ejected("h", "a", 40, 3);
+    repeated.observed_at = 30;
+    words.receive(40, repeated);
+    CHECK(words.suspicion_of(40, "h").score == doctest::Approx(-0.3));
+    CHECK_FALSE(words.receive(40, ejected("h", "a", 5, 1)));      // older than its last
+    CHECK_FALSE(words.receive(40, ejected("h", "me", 40, 999)));  // our own, passed on by a peer
+    CHECK_FALSE(words.receive(
+        40, {"h", "d", HostCondition::ejected, 1, 40, 100 * terms.time_to_live}));  // lives too long
 }
 
-TEST_CASE("what was found long ago is told no more, and where enough have said so one more says nothing") {
-    HostWords words(terms, "me", 1);
-    words.found(0, "h", Finding::shut);
+TEST_CASE("old observations are not repeated, and a failure that enough peers report is not published") {
+    HostObservations words(terms, "me", 1);
+    words.observe(0, "h", HostCondition::ejected);
     int told = 0;
     Time now = 0, last = 0;
-    for (; now < 2 * terms.evidence; now += a_second / 2)
-        if (!words.to_tell(now).empty()) ++told, last = now;
-    CHECK(told >= terms.evidence / terms.life);
-    CHECK(last < terms.evidence);
-    words.ended(now, "h", HostWords::End::failed, 30);  // tried again, in vain
-    CHECK(words.to_tell(now + terms.life).size() == 1);
-
-    HostWords polite(terms, "me", 1);
-    for (const char* const by : {"a", "b", "c", "d"}) polite.came(0, shut("h", by, 0));
-    polite.found(10, "h", Finding::shut);
-    CHECK(polite.to_tell(10).empty());
-    now = terms.life + 10;  // theirs are over, ours stands
-    CHECK(polite.to_tell(now).size() == 1);
-    // That it is well is told whoever said so before.
-    polite.found(now, "h", Finding::well);
-    CHECK(polite.to_tell(now).size() == 1);
+    for (; now < 2 * terms.max_observation_age; now += a_second / 2)
+        if (!words.take_outgoing(now).empty()) {
+            ++told;
+            last = now;
+        }
+    CHECK(told >= terms.max_observation_age / terms.time_to_live);
+    CHECK(last < terms.max_observation_age);
+    words.attempt_ended(now, "h", HostObservations::AttemptResult::failed, 30);  // another failed attempt
+    CHECK(words.take_outgoing(now + terms.time_to_live).size() == 1);
+
+    HostObservations polite(terms, "me", 1);
+    for (const char* const by : {"a", "b", "c", "d"}) polite.receive(0, ejected("h", by, 0));
+    polite.observe(10, "h", HostCondition::ejected);
+    CHECK(polite.take_outgoing(10).empty());
+    now = terms.time_to_live + 10;  // the peers' have expired, ours stands
+    CHECK(polite.take_outgoing(now).size() == 1);
+    // Health is published even if peers have reported it.
+    polite.observe(now, "h", HostCondition::healthy);
+    CHECK(polite.take_outgoing(now).size() == 1);
 }
 
 namespace {
 
-// Has had so many pieces answered there, each in that time.
-void deliver(HostWords& words, Time& now, const std::string& host, Time took, int pieces = 200) {
+// Completes `pieces` attempts at the host, each in time `took`.
+void deliver(HostObservations& words, Time& now, const std::string& host, Time took, int pieces = 200) {
     for (int n = 0; n < pieces; ++n) {
-        words.asked(now, host);
-        words.ended(now += took, host, HostWords::End::well, took);
+        words.attempt_started(now, host);
+        words.attempt_ended(now += took, host, HostObservations::AttemptResult::succeeded, took);
     }
 }
 
 }  // namespace
 
-TEST_CASE(
-    "a piece that waits for longer than pieces do is silence, told once, and over with the first answer") {
-    HostWords words(terms, "me", 1);
+TEST_CASE("an attempt that takes too long makes the host unresponsive, once, until the next response") {
+    HostObservations words(terms, "me", 1);
     Time now = a_second;
-    // Nothing delivered yet: nobody knows what is long.
-    CHECK(words.asked(now, "h") > now + 1000 * a_second);
-    CHECK(words.to_tell(now + 100 * a_second).empty());
-    words.ended(now, "h", HostWords::End::nothing, 0);
+    // Without a successful attempt there is no average latency to compare with.
+    CHECK(words.attempt_started(now, "h") > now + 1000 * a_second);
+    CHECK(words.take_outgoing(now + 100 * a_second).empty());
+    words.attempt_ended(now, "h", HostObservations::AttemptResult::inconclusive, 0);
     deliver(words, now, "h", 300);
-    const Time sent = now, due = words.asked(now, "h");
+    const Time sent = now, due = words.attempt_started(now, "h");
     CHECK(due > now + 3 * 300);
     CHECK(due < now + 10 * 300);
-    words.asked(now + 100, "h");  // a second one: the first counts
-    CHECK(words.next(now + 200) == due);
-    CHECK(words.to_tell(due - 1).empty());
-    const auto told = words.to_tell(due);
+    words.attempt_started(now + 100, "h");  // a second attempt does not restart the timeout
+    CHECK(words.next_timer(now + 200) == due);
+    CHECK(words.take_outgoing(due - 1).empty());
+    const auto told = words.take_outgoing(due);
     REQUIRE(told.size() == 1);
-    CHECK(told[0].finding == Finding::quiet);
-    CHECK(told[0].found == sent);
-    CHECK(words.to_tell(due + terms.life).empty());
-    // A sign of life: that it is well is told too, and what is still out waits anew.
-    words.ended(due + 100, "h", HostWords::End::well, due - sent);
-    const auto well_again = words.to_tell(due + 100);
-    REQUIRE(well_again.size() == 1);
-    CHECK(well_again[0].finding == Finding::well);
-    CHECK(words.to_tell(due + 3 * (due - sent)).size() == 1);
-    // Called off: nothing is out, nothing waits.
-    words.ended(due + 4 * (due - sent), "h", HostWords::End::nothing, 0);
-    CHECK(words.to_tell(due + 100 * a_second).empty());
+    CHECK(told[0].condition == HostCondition::unresponsive);
+    CHECK(told[0].observed_at == sent);
+    CHECK(words.take_outgoing(due + terms.time_to_live).empty());
+    // A response: health is published, and the timeout of the remaining attempt restarts.
+    words.attempt_ended(due + 100, "h", HostObservations::AttemptResult::succeeded, due - sent);
+    const auto healthy_again = words.take_outgoing(due + 100);
+    REQUIRE(healthy_again.size() == 1);
+    CHECK(healthy_again[0].condition == HostCondition::healthy);
+    CHECK(words.take_outgoing(due + 3 * (due - sent)).size() == 1);
+    // Cancelled: nothing is in flight any more.
+    words.attempt_ended(due + 4 * (due - sent), "h", HostObservations::AttemptResult::inconclusive, 0);
+    CHECK(words.take_outgoing(due + 100 * a_second).empty());
 }
 
-TEST_CASE("silence counts half; three that hear nothing are enough, and anybody's answer sets it aside") {
-    const auto quiet = [](const std::string& by, Time found, Time born) {
-        return HostWord{"h", by, Finding::quiet, 1, born, terms.life, found};
+TEST_CASE("unresponsive counts half, three such origins suffice, and any response overrides them") {
+    const auto unresponsive = [](const std::string& by, Time found, Time created_at) {
+        return HostObservation{"h",  by, HostCondition::unresponsive, 1, created_at, terms.time_to_live,
+                               found};
     };
-    HostWords words(terms, "me", 1);
+    HostObservations words(terms, "me", 1);
     Time now = a_second;
     deliver(words, now, "h", 300);
     const Time last = now;
     now += 10 * a_second;
-    words.came(now, quiet("a", now - 2000, now));
-    words.came(now, quiet("b", now - 1000, now));
-    CHECK(words.doubt_of(now, "h").doubt == doctest::Approx(1));
-    // Ours, too.
-    const Time due = words.asked(now, "h");
-    words.to_tell(due);
-    CHECK(words.doubt_of(due, "h").doubt == doctest::Approx(1.5));
-    CHECK(words.doubt_of(due, "h").found == now - 1000);
-    // One that had an answer after their pieces were sent says so, and is heard at once by the others.
-    words.came(due, well("h", "c", due));
-    CHECK(words.doubt_of(due, "h").doubt <= 0);
-    // Whose silence is refuted by ours has said nothing wrong; that it called a host failing would be.
-    HostWords speaks(terms, "me", 1);
+    words.receive(now, unresponsive("a", now - 2000, now));
+    words.receive(now, unresponsive("b", now - 1000, now));
+    CHECK(words.suspicion_of(now, "h").score == doctest::Approx(1));
+    // Our own observation counts half as well.
+    const Time due = words.attempt_started(now, "h");
+    words.take_outgoing(due);
+    CHECK(words.suspicion_of(due, "h").score == doctest::Approx(1.5));
+    CHECK(words.suspicion_of(due, "h").last_failure == now - 1000);
+    // An origin that had a response after those attempts were sent overrides them at once.
+    words.receive(due, healthy("h", "c", due));
+    CHECK(words.suspicion_of(due, "h").score <= 0);
+    // A refuted observation of unresponsiveness costs its origin no weight; one of ejection would.
+    HostObservations speaks(terms, "me", 1);
     Time then = last;
     deliver(speaks, then, "h", 300);
-    speaks.came(then, quiet("a", then - 2000, then));
-    const auto told = speaks.to_tell(then);
+    speaks.receive(then, unresponsive("a", then - 2000, then));
+    const auto told = speaks.take_outgoing(then);
     REQUIRE(told.size() == 1);
-    CHECK(told[0].finding == Finding::well);
+    CHECK(told[0].condition == HostCondition::healthy);
     CHECK(speaks.weight(then, "a") == 1);
 }
