--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -227,21 +227,23 @@
     if (live_count_.cut_off() != cut_logged_) {
         cut_logged_ = live_count_.cut_off();
         log.tell(cut_logged_ ? net::Event::members_cut_off : net::Event::members_healed,
-                 cut_logged_ ? "members: cut off: " + std::to_string(present) + " seen; the count stays at " +
-                                   std::to_string(count)
-                             : "members: healed: " + std::to_string(present) + " seen",
+                 cut_logged_ ? "members: cut off: " + std::to_string(present) +
+                                   " members present; quotas stay divided by " + std::to_string(count)
+                             : "members: no longer cut off: " + std::to_string(present) + " members present",
                  {{"present", present}, {"count", count}});
     }
     if (live_count_.count() != count_logged_) {
         count_logged_ = live_count_.count();
-        log.tell(net::Event::members_count, "members: " + std::to_string(count) + " count",
+        log.tell(net::Event::members_count,
+                 "members: " + std::to_string(count) + " gateways share the quotas",
                  {{"present", present}, {"count", count}});
     }
     if (members_.replaced() && !replaced_logged_) {
         replaced_logged_ = true;
         const std::string at = text_of(members_.replaced_by());
         log.tell(net::Event::members_replaced,
-                 "members: a later process has the name " + name_ + ", at " + at + "; this one says no more",
+                 "members: a later process uses the name " + name_ + ", at " + at +
+                     "; this one sends nothing more: stop one of the two",
                  {{"address", at}});
     }
 }
