--- a/src/limits/rights.cpp
+++ b/src/limits/rights.cpp
@@ -10,8 +10,8 @@
 namespace dewweir::limits {
 namespace {
 
-using members::take;
-using members::Word;
+using members::read_field;
+using members::GossipItem;
 using nlohmann::json;
 
 const std::string prefix = "right/", request_prefix = prefix + "want/", loan_prefix = prefix + "loan/";
@@ -26,20 +26,20 @@
 }
 
 bool take_amount(const json& from, const char* name, double& into) {
-    return take(from, name, into) && into >= 0 && into < max_units;
+    return read_field(from, name, into) && into >= 0 && into < max_units;
 }
 
-bool read(const Word& item, LoanRequest& into) {
-    const json fields = members::carried_by(item);
+bool read(const GossipItem& item, LoanRequest& into) {
+    const json fields = members::decode_payload(item);
     std::uint64_t plan = 0, gateways = 0;
-    if (!fields.is_object() || !take(fields, "o", into.by) || !take(fields, "c", into.share.tenant) ||
-        !take(fields, "p", plan) || !take(fields, "g", gateways) ||
+    if (!fields.is_object() || !read_field(fields, "o", into.by) || !read_field(fields, "c", into.share.tenant) ||
+        !read_field(fields, "p", plan) || !read_field(fields, "g", gateways) ||
         !take_amount(fields, "r", into.share.rate) || !take_amount(fields, "b", into.share.burst) ||
         !take_amount(fields, "u", into.units))
         return false;
     into.share.plan = static_cast<int>(std::min<std::uint64_t>(plan, 1 << 20));
     into.share.gateways = static_cast<int>(std::clamp<std::uint64_t>(gateways, 1, 1 << 20));
-    into.sequence = item.rank;
+    into.sequence = item.sequence;
     return into.units > 0 && item.key == request_key(into.by, into.share.tenant);
 }
 
@@ -49,15 +49,15 @@
     // Sequence number of the request that it answers.
     std::uint64_t request = 0;
 };
-bool read(const Word& item, LoanItem& into) {
-    const json fields = members::carried_by(item);
+bool read(const GossipItem& item, LoanItem& into) {
+    const json fields = members::decode_payload(item);
     std::uint64_t expires_at = 0;
-    if (!fields.is_object() || !take(fields, "o", into.by) || !take(fields, "t", into.to) ||
-        !take(fields, "w", into.request) || !take(fields, "c", into.loan.tenant) ||
-        !take_amount(fields, "u", into.loan.units) || !take(fields, "e", expires_at))
+    if (!fields.is_object() || !read_field(fields, "o", into.by) || !read_field(fields, "t", into.to) ||
+        !read_field(fields, "w", into.request) || !read_field(fields, "c", into.loan.tenant) ||
+        !take_amount(fields, "u", into.loan.units) || !read_field(fields, "e", expires_at))
         return false;
     into.loan.expires_at = static_cast<Time>(expires_at);
-    return into.loan.units > 0 && item.key == loan_key(into.by, item.rank);
+    return into.loan.units > 0 && item.key == loan_key(into.by, item.sequence);
 }
 
 }  // namespace
@@ -66,7 +66,7 @@
                            std::uint64_t seed)
     : options_(options), self_(std::move(self)), sequence_(sequence), first_sequence_(sequence), rng_(seed) {}
 
-bool QuotaLending::is_lending_item(const Word& item) { return item.key.rfind(prefix, 0) == 0; }
+bool QuotaLending::is_lending_item(const GossipItem& item) { return item.key.rfind(prefix, 0) == 0; }
 
 void QuotaLending::report_shortage(Time now, const QuotaShare& share, double units) {
     // Shares under a unit are not lent.
@@ -78,16 +78,16 @@
     shortage.last_shortage_at = now;
 }
 
-bool QuotaLending::receive(Time now, const Word& item) {
-    if (item.past(now) || item.life > options_.item_lifetime) return false;
+bool QuotaLending::receive(Time now, const GossipItem& item) {
+    if (item.is_expired(now) || item.time_to_live > options_.item_lifetime) return false;
     return item.key.rfind(request_prefix, 0) == 0 ? receive_request(now, item) : receive_loan(now, item);
 }
 
-bool QuotaLending::receive_request(Time now, const Word& item) {
+bool QuotaLending::receive_request(Time now, const GossipItem& item) {
     LoanRequest request;
     if (!read(item, request) || request.by == self_) return false;
-    Word& held = items_[item.key];
-    if (item.rank <= held.rank) return false;
+    GossipItem& held = items_[item.key];
+    if (item.sequence <= held.sequence) return false;
     held = item;
     // Each gateway lends with the same probability, so that as many answer as intended. A gateway that is
     // short of the same tenant's units has none to spare.
@@ -101,13 +101,13 @@
     return true;
 }
 
-bool QuotaLending::receive_loan(Time now, const Word& item) {
+bool QuotaLending::receive_loan(Time now, const GossipItem& item) {
     LoanItem loan_item;
     if (!read(item, loan_item) || loan_item.by == self_) return false;
     if (loan_item.to != self_) return items_.emplace(item.key, item).second;
     // A loan that an earlier process of this name requested was that process's own; each loan is taken once.
-    if (loan_item.request <= first_sequence_ || item.rank <= taken_up_to_[loan_item.by] ||
-        !taken_[loan_item.by].emplace(item.rank, now).second) {
+    if (loan_item.request <= first_sequence_ || item.sequence <= taken_up_to_[loan_item.by] ||
+        !taken_[loan_item.by].emplace(item.sequence, now).second) {
         ++counters_.refused;
         return false;
     }
@@ -131,7 +131,7 @@
                    {"u", units},
                    {"e", static_cast<std::uint64_t>(expires_at)}},
                   bytes);
-    const Word item{loan_key(self_, sequence), sequence, now, options_.item_lifetime, bytes};
+    const GossipItem item{loan_key(self_, sequence), sequence, now, options_.item_lifetime, bytes};
     items_[item.key] = item;
     outgoing_.push_back(item);
     ++counters_.loans_out;
@@ -141,7 +141,7 @@
 std::vector<Loan> QuotaLending::take_loans() { return std::exchange(loans_, {}); }
 
 void QuotaLending::expire(Time now) {
-    std::erase_if(items_, [now](const auto& each) { return each.second.past(now); });
+    std::erase_if(items_, [now](const auto& each) { return each.second.is_expired(now); });
     // After so long without a shortage the next one is unrelated, and starts with the first interval.
     std::erase_if(shortages_, [&](const auto& each) {
         return now > each.second.last_shortage_at + options_.longest_interval;
@@ -153,7 +153,7 @@
         }
 }
 
-std::vector<Word> QuotaLending::take_outgoing(Time now) {
+std::vector<GossipItem> QuotaLending::take_outgoing(Time now) {
     expire(now);
     for (auto& [tenant, shortage] : shortages_) {
         if (shortage.units <= 0 || now < shortage.requested_at + shortage.interval) continue;
@@ -167,7 +167,7 @@
                        {"b", shortage.share.burst},
                        {"u", shortage.units}},
                       bytes);
-        const Word item{request_key(self_, tenant), sequence, now, options_.item_lifetime, bytes};
+        const GossipItem item{request_key(self_, tenant), sequence, now, options_.item_lifetime, bytes};
         outgoing_.push_back(item);
         items_[item.key] = item;
         // Backs off while requests bring nothing; a loan resets the interval.
@@ -180,10 +180,10 @@
     return std::exchange(outgoing_, {});
 }
 
-std::vector<Word> QuotaLending::live_items(Time now) const {
-    std::vector<Word> live;
+std::vector<GossipItem> QuotaLending::live_items(Time now) const {
+    std::vector<GossipItem> live;
     for (const auto& [key, item] : items_)
-        if (!item.past(now)) live.push_back(item);
+        if (!item.is_expired(now)) live.push_back(item);
     return live;
 }
 
--- a/src/limits/rights.h
+++ b/src/limits/rights.h
@@ -62,7 +62,7 @@
     // The counter has answered: requests here are counted, so that the share must not be lent.
     void counter_answered(Time now) { lend_nothing_until_ = now + options_.counter_silence; }
     // Takes a gossip item of this package. Returns whether it is new here and is to be passed on.
-    bool receive(Time now, const members::Word& item);
+    bool receive(Time now, const members::GossipItem& item);
     // Loan requests of others that this gateway is to answer, each returned once.
     std::vector<LoanRequest> take_requests();
     // So many units have left this gateway's share for that request.
@@ -70,13 +70,13 @@
     // Loans to this gateway, each returned once.
     std::vector<Loan> take_loans();
     // New gossip items of this gateway, each returned once.
-    std::vector<members::Word> take_outgoing(Time now);
+    std::vector<members::GossipItem> take_outgoing(Time now);
     // All gossip items that have not expired, for a member that asks for everything.
-    std::vector<members::Word> live_items(Time now) const;
+    std::vector<members::GossipItem> live_items(Time now) const;
     // When `take_outgoing` must be called again at the latest.
     Time next_timer(Time now) const;
     // Whether a gossip item belongs to this package.
-    static bool is_lending_item(const members::Word& item);
+    static bool is_lending_item(const members::GossipItem& item);
 
     // Since the start of the process.
     struct Counters {
@@ -96,8 +96,8 @@
         Time last_shortage_at = 0;
     };
     void expire(Time now);
-    bool receive_request(Time now, const members::Word& item);
-    bool receive_loan(Time now, const members::Word& item);
+    bool receive_request(Time now, const members::GossipItem& item);
+    bool receive_loan(Time now, const members::GossipItem& item);
 
     QuotaLendingOptions options_;
     std::string self_;
@@ -108,12 +108,12 @@
     // By tenant.
     std::map<std::uint64_t, Shortage> shortages_;
     // By key: items that are passed on until they expire.
-    std::map<std::string, members::Word> items_;
+    std::map<std::string, members::GossipItem> items_;
     // By lender: no loan up to this sequence number is taken any more.
     std::map<std::string, std::uint64_t> taken_up_to_;
     // By lender, loans taken above it: when each was.
     std::map<std::string, std::map<std::uint64_t, Time>> taken_;
-    std::vector<members::Word> outgoing_;
+    std::vector<members::GossipItem> outgoing_;
     std::vector<LoanRequest> requests_;
     std::vector<Loan> loans_;
     Counters counters_;
--- a/tests/limits/rights.cpp
+++ b/tests/limits/rights.cpp
@@ -19,7 +19,7 @@
 const QuotaLendingOptions options;
 
 // `borrower` has a shortage and `lender` lends these units. Returns the gossip item of the loan.
-members::Word loan_to(QuotaLending& borrower, QuotaLending& lender, Time now, double units) {
+members::GossipItem loan_to(QuotaLending& borrower, QuotaLending& lender, Time now, double units) {
     borrower.report_shortage(now, share, units);
     const auto outgoing = borrower.take_outgoing(now);
     REQUIRE(outgoing.size() == 1);
@@ -37,7 +37,7 @@
 
 TEST_CASE("a loan request is answered once; a loan is taken once, by its borrower, before it expires") {
     QuotaLending a(options, "a", 1000, 1), b(options, "b", 1000, 2), c(options, "c", 1000, 3);
-    const members::Word loan = loan_to(a, b, 100, 3);
+    const members::GossipItem loan = loan_to(a, b, 100, 3);
     CHECK_FALSE(b.receive(200, loan));  // its own, passed on by another
     CHECK(c.receive(200, loan));        // passed on
     CHECK_FALSE(c.receive(200, loan));
@@ -51,8 +51,8 @@
     CHECK(taken[0].expires_at == LoanBalance::expiry_of(100));
     // Much later, with a fresh creation time: a loan whose sequence number has been passed is not taken.
     a.take_outgoing(100 + 2 * options.item_lifetime);
-    members::Word again = loan;
-    again.born = 100 + 2 * options.item_lifetime;
+    members::GossipItem again = loan;
+    again.created_at = 100 + 2 * options.item_lifetime;
     a.receive(100 + 2 * options.item_lifetime, again);
     CHECK(a.take_loans().empty());
     CHECK_FALSE(a.receive(100 + options.item_lifetime, loan));
@@ -60,12 +60,12 @@
 
 TEST_CASE("a loan to an earlier process is not taken; a lender that has restarted can lend again") {
     QuotaLending a(options, "a", 1000, 1), b(options, "b", 1000, 2);
-    const members::Word loan = loan_to(a, b, 100, 3);
+    const members::GossipItem loan = loan_to(a, b, 100, 3);
     QuotaLending later(options, "a", 2000, 1);
     later.receive(200, loan);
     CHECK(later.take_loans().empty());
     QuotaLending again(options, "b", 2000, 2);
-    const members::Word other = loan_to(later, again, 60000, 2);
+    const members::GossipItem other = loan_to(later, again, 60000, 2);
     later.receive(60100, other);
     CHECK(later.take_loans().size() == 1);
 }
@@ -75,7 +75,7 @@
     int sent = 0;
     for (Time now = 100; now < 400000; now += 500) {
         a.report_shortage(now, share, 1);
-        for (const members::Word& request : a.take_outgoing(now)) {
+        for (const members::GossipItem& request : a.take_outgoing(now)) {
             ++sent;
             b.report_shortage(now, share, 1);
             b.receive(now, request);
@@ -103,17 +103,17 @@
 
 TEST_CASE("truncated and invalid items are dropped") {
     QuotaLending a(options, "a", 1000, 1), b(options, "b", 1000, 2);
-    members::Word loan = loan_to(a, b, 100, 3);
-    for (std::size_t n = 0; n < loan.bytes.size(); ++n) {
-        members::Word truncated = loan;
-        truncated.bytes.resize(n);
+    members::GossipItem loan = loan_to(a, b, 100, 3);
+    for (std::size_t n = 0; n < loan.payload.size(); ++n) {
+        members::GossipItem truncated = loan;
+        truncated.payload.resize(n);
         a.receive(200, truncated);
     }
-    members::Word other = loan;
+    members::GossipItem other = loan;
     other.key += "1";
     a.receive(200, other);
     other = loan;
-    other.life = 10 * options.item_lifetime;
+    other.time_to_live = 10 * options.item_lifetime;
     a.receive(200, other);
     CHECK(a.take_loans().empty());
 }
@@ -125,7 +125,7 @@
 // must be the loans that b made, once each.
 struct World {
     QuotaLending a{options, "a", 1000, 1}, b{options, "b", 1000, 2};
-    std::vector<members::Word> in_transit;
+    std::vector<members::GossipItem> in_transit;
     Time now = 100000;
     std::uint64_t started = 1000;
     std::multiset<double> lent, credited;
@@ -145,20 +145,20 @@
     const auto step = [&](const std::function<void(World&)>& what) {
         World then = world;
         what(then);
-        for (const members::Word& item : then.a.take_outgoing(then.now)) then.in_transit.push_back(item);
+        for (const members::GossipItem& item : then.a.take_outgoing(then.now)) then.in_transit.push_back(item);
         // Each loan has another amount, by which it is recognised.
         for (const LoanRequest& request : then.b.take_requests()) {
             then.lent.insert(then.next);
             then.b.record_loan(then.now, request, then.next++, LoanBalance::expiry_of(then.now));
         }
-        for (const members::Word& item : then.b.take_outgoing(then.now)) then.in_transit.push_back(item);
+        for (const members::GossipItem& item : then.b.take_outgoing(then.now)) then.in_transit.push_back(item);
         for (const Loan& loan : then.a.take_loans()) then.credited.insert(loan.units);
         explore(then, depth - 1, forgetful, found);
     };
     if (world.in_transit.size() < 3) step([](World& w) { w.a.report_shortage(w.now, share, 1); });
     for (std::size_t n = 0; n < world.in_transit.size(); ++n) {
         const auto arrives = [n, forgetful](World& w) {
-            const members::Word item = w.in_transit[n];
+            const members::GossipItem item = w.in_transit[n];
             if (forgetful) w.a = QuotaLending(options, "a", 1000, 1);  // the fault that the search must find
             w.a.receive(w.now, item), w.b.receive(w.now, item);
         };
