--- a/src/api/client.cpp
+++ b/src/api/client.cpp
@@ -11,7 +11,7 @@
     done_ = std::move(done);
     request_ = "GET " + target + " HTTP/1.1\r\nHost: " + address_.address().to_string() + "\r\n\r\n";
     deadline_.start(within, [this] { over(CallError::timed_out); });
-    if (connection_ && loop_.connections().quiet(connection_)) {
+    if (connection_ && loop_.connections().is_quiet(connection_)) {
         loop_.connections().send(connection_, {request_});
         return;
     }
@@ -35,7 +35,7 @@
     if (connection != connection_ || !reader_) return;
     const net::HttpReader::State state = reader_->read(loop_.connections().in(connection));
     if (state == net::HttpReader::State::bad) return over(CallError::broken);
-    if (state == net::HttpReader::State::whole) over(CallError::none);
+    if (state == net::HttpReader::State::complete) over(CallError::none);
 }
 
 void Client::ended(net::Handle connection, std::uint32_t) {
--- a/src/api/client.h
+++ b/src/api/client.h
@@ -18,7 +18,7 @@
     std::string body{};
 };
 
-class Client : net::User {
+class Client : net::ConnectionHandler {
   public:
     using Done = std::function<void(const CallResult&)>;
 
--- a/src/api/server.cpp
+++ b/src/api/server.cpp
@@ -98,7 +98,7 @@
 }
 
 void Server::expect_request(std::uint32_t mark, Client& client) {
-    loop_.deadlines().drop(client.deadline);
+    loop_.deadlines().cancel(client.deadline);
     client.deadline = loop_.deadlines().after(idle_limit, [this, mark] {
         const Client* const idle = clients_.find(mark);
         if (!idle) return;
@@ -113,7 +113,7 @@
     switch (client->reader.read(loop_.connections().in(connection))) {
         case net::HttpReader::State::more: return;
         case net::HttpReader::State::bad: return refuse(mark, *client, client->reader.fault());
-        case net::HttpReader::State::whole: return handle(mark, *client);
+        case net::HttpReader::State::complete: return handle(mark, *client);
     }
 }
 
@@ -130,7 +130,7 @@
 
 // Who asked has long gone on elsewhere; the connection is freed and nothing is promised.
 void Server::limit_handling(std::uint32_t mark, std::uint64_t number, Client& client) {
-    loop_.deadlines().drop(client.deadline);
+    loop_.deadlines().cancel(client.deadline);
     client.deadline = loop_.deadlines().after(handling_limit, [this, mark, number] {
         respond(mark, number,
                 {Status::service_unavailable,
@@ -166,7 +166,7 @@
 void Server::respond(std::uint32_t mark, std::uint64_t number, const Response& response) {
     Client* const client = clients_.find(mark);
     if (!client || !client->handling || client->request != number) return;
-    loop_.deadlines().drop(client->deadline);
+    loop_.deadlines().cancel(client->deadline);
     const bool keep = client->reader.keep_alive();
     std::string head = "HTTP/1.1 ";
     head.append(status_line(response.status)).append("\r\n");
@@ -180,27 +180,27 @@
     client->handling = false;
     client->reader.next();
     if (!keep) {
-        loop_.connections().finish(client->connection);
+        loop_.connections().close_gracefully(client->connection);
         clients_.remove(mark);
         return;
     }
     expect_request(mark, *client);
-    loop_.connections().again(client->connection);
+    loop_.connections().redeliver(client->connection);
 }
 
 void Server::refuse(std::uint32_t mark, Client& client, int status) {
     std::string head = "HTTP/1.1 ";
     head.append(status_line(status)).append("\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     loop_.connections().send(client.connection, {head});
-    loop_.connections().finish(client.connection);
-    loop_.deadlines().drop(client.deadline);
+    loop_.connections().close_gracefully(client.connection);
+    loop_.deadlines().cancel(client.deadline);
     clients_.remove(mark);
 }
 
 void Server::ended(net::Handle, std::uint32_t mark) {
     Client* const client = clients_.find(mark);
     if (!client) return;
-    loop_.deadlines().drop(client->deadline);
+    loop_.deadlines().cancel(client->deadline);
     clients_.remove(mark);
 }
 
--- a/src/api/server.h
+++ b/src/api/server.h
@@ -41,7 +41,7 @@
 using Respond = std::function<void(const Response&)>;
 using Handler = std::function<void(const Request&, Respond)>;
 
-class Server : net::User {
+class Server : net::ConnectionHandler {
   public:
     Server(runtime::EventLoop& loop, std::size_t most_body);
 
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -36,7 +36,7 @@
     } catch (const CLI::ParseError& fault) {
         return app.exit(fault) == 0 ? fine : cannot;
     } catch (const std::exception& fault) {
-        std::cerr << errors::told(fault);
+        std::cerr << errors::describe(fault);
         return errors::exit_code_of(fault);
     }
     return end;
--- a/src/cli/files.cpp
+++ b/src/cli/files.cpp
@@ -27,7 +27,7 @@
 }
 
 // A file by what it is: the platform's JSON, or our TOML, which is a script of troubles where it holds any.
-std::vector<errors::Complaint> check(const std::string& file) {
+std::vector<errors::FileProblem> check(const std::string& file) {
     try {
         const std::string text = file_text(file);
         if (ends_with(file, ".json")) return net::check_configuration(text, file);
@@ -45,8 +45,8 @@
 int check_all(const std::vector<std::string>& files) {
     int end = fine;
     for (const std::string& file : files) {
-        const std::vector<errors::Complaint> wrong = check(file);
-        for (const errors::Complaint& one : wrong) std::cout << one.text() << '\n';
+        const std::vector<errors::FileProblem> wrong = check(file);
+        for (const errors::FileProblem& one : wrong) std::cout << one.text() << '\n';
         if (wrong.empty()) std::cout << file << ": good\n";
         else end = cannot;
     }
@@ -95,11 +95,12 @@
             extras.settings = state::digest(file_text(at) + file_text(o->with));
         if (!file.members.listen.empty())
             extras.peer_observer =
-                [&file](const net::Part& part,
+                [&file](const net::NodeContext& part,
                         net::ReportReceiver& report_receiver) -> std::unique_ptr<net::PeerObserver> {
                 const Time now = part.deadlines_.now();
-                return std::make_unique<peers::Peers>(part, report_receiver, file.members, part.told_.name,
-                                                      part.told_.seed, static_cast<std::uint64_t>(now / 10));
+                return std::make_unique<peers::Peers>(part, report_receiver, file.members,
+                                                      part.configuration_.name, part.configuration_.seed,
+                                                      static_cast<std::uint64_t>(now / 10));
             };
         // A second one of the same identity ends here, before it touches anything.
         std::optional<state::Lock> identity;
--- a/src/cli/links.cpp
+++ b/src/cli/links.cpp
@@ -69,7 +69,7 @@
     std::size_t next = 0;
     const auto play = [&] {
         if (scripts.empty()) return;
-        loop.deadlines.turn();
+        loop.deadlines.update_now();
         stage.play(scripts[std::min(next++, scripts.size() - 1)],
                    [](const std::string& what) { std::cout << what << std::endl; });
     };
--- a/src/errors/bad_file.h
+++ b/src/errors/bad_file.h
@@ -10,7 +10,7 @@
 
 namespace dewweir::errors {
 
-struct Complaint {
+struct FileProblem {
     std::string file;
     int line = 0;  // from 1; 0: none can be named
     std::string key, what;
@@ -25,14 +25,14 @@
 };
 
 struct BadFile : Of<Kind::bad_file> {
-    explicit BadFile(std::vector<Complaint> list)
+    explicit BadFile(std::vector<FileProblem> list)
         : Of("", list.empty() ? "nothing is wrong" : joined(list)), all(std::move(list)) {}
-    std::vector<Complaint> all;
+    std::vector<FileProblem> all;
 
   private:
-    static std::string joined(const std::vector<Complaint>& list) {
+    static std::string joined(const std::vector<FileProblem>& list) {
         std::string lines;
-        for (const Complaint& one : list) lines += (lines.empty() ? "" : "\n") + one.text();
+        for (const FileProblem& one : list) lines += (lines.empty() ? "" : "\n") + one.text();
         return lines;
     }
 };
--- a/src/errors/errors.cpp
+++ b/src/errors/errors.cpp
@@ -8,7 +8,7 @@
 namespace dewweir::errors {
 namespace {
 
-constexpr Entry entries[] = {
+constexpr KindInfo entries[] = {
     {"own_fault", 1, "the program met a fault in itself", "keep the log and report it; a restart is safe"},
     {"bad_file", 2, "a file that people write holds something wrong; every place is listed",
      "mend the places named; `dewweir check FILE` looks it over without starting anything"},
@@ -39,20 +39,20 @@
 
 }  // namespace
 
-const Entry& entry_of(Kind kind) { return entries[static_cast<std::size_t>(kind)]; }
+const KindInfo& entry_of(Kind kind) { return entries[static_cast<std::size_t>(kind)]; }
 
 std::string errors_table() {
     std::string table = "| error | exit | meaning | what to do |\n| --- | --- | --- | --- |\n";
-    for (const Entry& one : entries)
+    for (const KindInfo& one : entries)
         table += std::string("| `") + one.name + "` | " + std::to_string(one.exit_code) + " | " +
                  one.meaning + " | " + one.to_do + " |\n";
     return table;
 }
 
-Error::Error(Kind kind, std::string to_what, std::string happened, std::string to_do)
-    : std::runtime_error(to_what.empty() ? happened : to_what + ": " + happened),
+Error::Error(Kind kind, std::string subject, std::string happened, std::string to_do)
+    : std::runtime_error(subject.empty() ? happened : subject + ": " + happened),
       kind_(kind),
-      to_what_(std::move(to_what)),
+      subject_(std::move(subject)),
       happened_(std::move(happened)),
       to_do_(to_do.empty() ? entry_of(kind).to_do : std::move(to_do)) {}
 
@@ -63,7 +63,7 @@
 
 std::string text_of(int errno_was) { return std::strerror(errno_was); }
 
-std::string told(const std::exception& fault, const std::string& where) {
+std::string describe(const std::exception& fault, const std::string& where) {
     std::string text = "dewweir: " + where + fault.what() + '\n';
     if (const auto* const known = dynamic_cast<const Error*>(&fault))
         text += "dewweir: what to do: " + known->to_do() + " (" + entry_of(known->kind()).name + ")\n";
--- a/src/errors/errors.h
+++ b/src/errors/errors.h
@@ -27,21 +27,21 @@
     count,
 };
 
-struct Entry {
+struct KindInfo {
     const char* name;  // stable: people and scripts search for it
     int exit_code;     // from 1 to 125
     const char* meaning;
     const char* to_do;  // where an error brings nothing closer
 };
 
-const Entry& entry_of(Kind kind);
+const KindInfo& entry_of(Kind kind);
 // The table of docs/errors.md.
 std::string errors_table();
 
 class Error : public std::runtime_error {
   public:
     Kind kind() const { return kind_; }
-    const std::string& to_what() const { return to_what_; }
+    const std::string& subject() const { return subject_; }
     const std::string& happened() const { return happened_; }
     const std::string& to_do() const { return to_do_; }
     int exit_code() const { return entry_of(kind_).exit_code; }
@@ -50,16 +50,16 @@
 
   protected:
     // `to_do` empty: what the table says.
-    Error(Kind kind, std::string to_what, std::string happened, std::string to_do = {});
+    Error(Kind kind, std::string subject, std::string happened, std::string to_do = {});
 
   private:
     Kind kind_;
-    std::string to_what_, happened_, to_do_;
+    std::string subject_, happened_, to_do_;
 };
 
 template <Kind kind_is> struct Of : Error {
-    explicit Of(std::string to_what, std::string happened, std::string to_do = {})
-        : Error(kind_is, std::move(to_what), std::move(happened), std::move(to_do)) {}
+    explicit Of(std::string subject, std::string happened, std::string to_do = {})
+        : Error(kind_is, std::move(subject), std::move(happened), std::move(to_do)) {}
 };
 
 using BadCall = Of<Kind::bad_call>;
@@ -85,13 +85,13 @@
 std::string text_of(int errno_was);
 
 // What a call to the system has refused, as the type that it is: no room left, or else an `Otherwise`.
-template <class Otherwise> [[noreturn]] void throw_of_system(int errno_was, const std::string& to_what) {
-    if (means_no_room(errno_was)) throw OutOfRoom(to_what, text_of(errno_was));
-    throw Otherwise(to_what, text_of(errno_was));
+template <class Otherwise> [[noreturn]] void throw_of_system(int errno_was, const std::string& subject) {
+    if (means_no_room(errno_was)) throw OutOfRoom(subject, text_of(errno_was));
+    throw Otherwise(subject, text_of(errno_was));
 }
 
 // What an edge prints for any exception, what to do in a line of its own; its exit code. `where` comes first.
-std::string told(const std::exception& fault, const std::string& where = {});
+std::string describe(const std::exception& fault, const std::string& where = {});
 int exit_code_of(const std::exception& fault);
 
 }  // namespace dewweir::errors
--- a/src/fleet/controller.cpp
+++ b/src/fleet/controller.cpp
@@ -97,14 +97,14 @@
     const bool told_so = moved || at.held != kept_.held;
     kept_ = at;
     if (!told_so) return;
-    log_.tell(net::Event::rollout_phase,
-              std::string("rollout: ") + rollout::name_of(at.phase) + ", stage " +
-                  std::to_string(at.stage + 1) + " of " + std::to_string(fleet_.machine.stages.size()) +
-                  (at.held ? ", held" : "") + (at.why.empty() ? "" : ": " + at.why),
-              {{"phase", rollout::name_of(at.phase)},
-               {"stage", static_cast<std::int64_t>(at.stage + 1)},
-               {"held", std::int64_t{at.held}},
-               {"why", at.why}});
+    log_.record(net::Event::rollout_phase,
+                std::string("rollout: ") + rollout::name_of(at.phase) + ", stage " +
+                    std::to_string(at.stage + 1) + " of " + std::to_string(fleet_.machine.stages.size()) +
+                    (at.held ? ", held" : "") + (at.why.empty() ? "" : ": " + at.why),
+                {{"phase", rollout::name_of(at.phase)},
+                 {"stage", static_cast<std::int64_t>(at.stage + 1)},
+                 {"held", std::int64_t{at.held}},
+                 {"why", at.why}});
     if (!moved) return;
     if (at.phase == Phase::forward && !changed_) changed_ = now;
     if (at.phase == Phase::watch) judge_anew();
@@ -155,10 +155,10 @@
 
 void Controller::must_be_open() const {
     if (!machine_->over()) return;
-    throw errors::Refused(fleet_.in_folder("journal"),
-                          std::string("a rollout of this folder is over: ") +
-                              rollout::name_of(machine_->position().phase),
-                          "for another one name another folder, or put the journal aside");
+    throw errors::Refused(
+        fleet_.in_folder("journal"),
+        std::string("a rollout of this folder is over: ") + rollout::name_of(machine_->position().phase),
+        "for another one name another folder, or put the journal aside");
 }
 
 void Controller::hold(bool on) { machine_->hold(on), keep(read_clock()); }
@@ -183,7 +183,7 @@
         static const char* const names[] = {"end", "kill", "start"};
         const char* const what = names[static_cast<int>(act.what)];
         const std::string& name = fleet_.members[act.gateway].name;
-        log_.tell(
+        log_.record(
             net::Event::rollout_act,
             "rollout: step " + std::to_string(++steps_) + ": " + name + ": " + what +
                 (act.what == rollout::Act::What::start ? std::string(" as ") + rollout::name_of(act.version)
@@ -193,9 +193,9 @@
             processes_.act(act);
         } catch (const errors::Error& fault) {
             // Tried again by the machine, ever more seldom.
-            log_.tell(net::Event::rollout_fault,
-                      std::string("rollout: ") + fault.what() + "; " + fault.to_do(),
-                      {{"gateway", name}, {"why", fault.what()}});
+            log_.record(net::Event::rollout_fault,
+                        std::string("rollout: ") + fault.what() + "; " + fault.to_do(),
+                        {{"gateway", name}, {"why", fault.what()}});
         }
     }
     if (now - told_ >= a_second) tell_status(now, seen);
@@ -241,9 +241,9 @@
     try {
         state::write_whole(fleet_.in_folder("status"), status);
     } catch (const errors::Error& fault) {
-        log_.tell(net::Event::rollout_fault,
-                  std::string("rollout: status: ") + fault.what() + "; " + fault.to_do(),
-                  {{"gateway", ""}, {"why", fault.what()}});
+        log_.record(net::Event::rollout_fault,
+                    std::string("rollout: status: ") + fault.what() + "; " + fault.to_do(),
+                    {{"gateway", ""}, {"why", fault.what()}});
     }
 }
 
@@ -254,8 +254,9 @@
             look(read_clock());
         } catch (const errors::OutOfRoom& full) {
             // Nothing was done that is not on disk: the same step is looked at again once there is room.
-            log_.tell(net::Event::rollout_fault, std::string("rollout: ") + full.what() + "; " + full.to_do(),
-                      {{"gateway", ""}, {"why", full.what()}});
+            log_.record(net::Event::rollout_fault,
+                        std::string("rollout: ") + full.what() + "; " + full.to_do(),
+                        {{"gateway", ""}, {"why", full.what()}});
             ::poll(nullptr, 0, 4 * beat_ms);
         }
         if (!machine_->over()) ::poll(nullptr, 0, beat_ms);
--- a/src/fleet/fleet_file.cpp
+++ b/src/fleet/fleet_file.cpp
@@ -18,7 +18,7 @@
 
 struct Reader {
     Fleet fleet;
-    std::vector<errors::Complaint> complaints{};
+    std::vector<errors::FileProblem> complaints{};
 
     void complain(const Values& at, const std::string& key, const std::string& what) {
         complaints.push_back({fleet.file, at.line(key), key, what});
@@ -72,7 +72,7 @@
         one.address = one.asked_at = read[0].listen;
         if (told.told("address")) {
             try {
-                one.asked_at = net::address_of("address", told.text("address"));
+                one.asked_at = net::parse_address("address", told.text("address"));
             } catch (const errors::BadSetting& wrong) { complain(told, "address", wrong.happened()); }
         }
         fleet.members.push_back(one);
--- a/src/gateway/front.cpp
+++ b/src/gateway/front.cpp
@@ -44,7 +44,7 @@
     });
     for (const ClientId id : idle) {
         Client& client = *clients_.find(id);
-        if (loop_.connections().quiet(client.connection)) close(id, client);
+        if (loop_.connections().is_quiet(client.connection)) close(id, client);
     }
 }
 
@@ -54,7 +54,7 @@
 }
 
 void Front::accepted(asio::ip::tcp::socket socket) {
-    if (!loop_.connections().room(reserved_connections)) return;  // closes it
+    if (!loop_.connections().has_room(reserved_connections)) return;  // closes it
     const ClientId id = clients_.add(reader_limits_);
     if (!id) return;
     Client& client = *clients_.find(id);
@@ -74,7 +74,7 @@
 }
 
 void Front::set_deadline(ClientId id, Client& client, runtime::Time from_now) {
-    loop_.deadlines().drop(client.deadline);
+    loop_.deadlines().cancel(client.deadline);
     client.deadline = loop_.deadlines().after(from_now, [this, id] { deadline_passed(id); });
 }
 
@@ -120,10 +120,10 @@
 }
 
 void Front::body_read(ClientId id, Client& client) {
-    if (client.reader.whole()) {
+    if (client.reader.complete()) {
         client.state = State::answering;
         client.request_ended = loop_.now();
-        loop_.deadlines().drop(client.deadline);
+        loop_.deadlines().cancel(client.deadline);
     } else {
         set_deadline(id, client, runtime::tenths(limits_.idle_timeout));
     }
@@ -131,19 +131,19 @@
     Client* const left = clients_.find(id);
     // What the user did not take stays, and is read on by `read_on`.
     if (!left || left->state != State::body || !left->reader.body().empty()) return;
-    if (!loop_.connections().in(left->connection).empty()) loop_.connections().again(left->connection);
+    if (!loop_.connections().in(left->connection).empty()) loop_.connections().redeliver(left->connection);
 }
 
 void Front::invite_body(Client& client) {
     if (!client.reader.begun() || client.reader.body_read() > 0) return;
-    if (!net::same_word(client.reader.field("Expect"), "100-continue")) return;
+    if (!net::equal_ignoring_case(client.reader.field("Expect"), "100-continue")) return;
     loop_.connections().send(client.connection, {"HTTP/1.1 100 Continue\r\n\r\n"});
 }
 
 void Front::head_read(ClientId id) {
     Client* client = clients_.find(id);
-    loop_.deadlines().drop(client->deadline);
-    client->state = client->reader.whole() ? State::answering : State::body;
+    loop_.deadlines().cancel(client->deadline);
+    client->state = client->reader.complete() ? State::answering : State::body;
     client->request_ended = loop_.now();
     user_.request_begun(id, client->reader);
     client = clients_.find(id);
@@ -156,7 +156,7 @@
     Client* const client = clients_.find(id);
     if (!client) return;
     if (client->state == State::body || client->state == State::answering)
-        loop_.connections().again(client->connection);
+        loop_.connections().redeliver(client->connection);
 }
 
 // Wrong in itself: answered and closed, and nothing behind it is read as a request.
@@ -226,34 +226,34 @@
 }
 
 void Front::answered(ClientId id, Client& client) {
-    loop_.deadlines().drop(client.deadline);
+    loop_.deadlines().cancel(client.deadline);
     if (client.close_after) {
-        loop_.connections().finish(client.connection);
+        loop_.connections().close_gracefully(client.connection);
         clients_.remove(id);
         return;
     }
     await_request(id, client);
-    loop_.connections().again(client.connection);
+    loop_.connections().redeliver(client.connection);
 }
 
 void Front::abort(ClientId id) {
     Client* const client = clients_.find(id);
     if (!client) return;
-    loop_.deadlines().drop(client->deadline);
+    loop_.deadlines().cancel(client->deadline);
     loop_.connections().reset(client->connection);
     clients_.remove(id);
 }
 
 std::size_t Front::unsent(ClientId id) {
     const Client* const client = clients_.find(id);
-    return client ? loop_.connections().unsent(client->connection) : 0;
+    return client ? loop_.connections().unsent_bytes(client->connection) : 0;
 }
 
 void Front::ended(net::Handle, std::uint32_t id) {
     Client* const client = clients_.find(id);
     if (!client) return;
     const bool told = client->state == State::body || client->state == State::answering;
-    loop_.deadlines().drop(client->deadline);
+    loop_.deadlines().cancel(client->deadline);
     clients_.remove(id);
     if (told) user_.client_left(id);
 }
@@ -271,7 +271,7 @@
 }
 
 void Front::close(ClientId id, Client& client) {
-    loop_.deadlines().drop(client.deadline);
+    loop_.deadlines().cancel(client.deadline);
     loop_.connections().close(client.connection);
     clients_.remove(id);
 }
--- a/src/gateway/front.h
+++ b/src/gateway/front.h
@@ -37,7 +37,7 @@
     virtual void client_writable(ClientId client) = 0;
 };
 
-class Front : net::User {
+class Front : net::ConnectionHandler {
   public:
     Front(runtime::EventLoop& loop, RequestUser& user);
 
--- a/src/gateway/process.cpp
+++ b/src/gateway/process.cpp
@@ -213,7 +213,7 @@
 
     bool idle() {
         return proxy_.open_requests() == 0 && proxy_.front().connections() == 0 &&
-               loop_.connections().finishing() == 0;
+               loop_.connections().closing() == 0;
     }
 
     void continue_shutdown() {
--- a/src/gateway/proxy.cpp
+++ b/src/gateway/proxy.cpp
@@ -102,7 +102,8 @@
     request.attempt_id = attempt_id;
     request.method = http_method_str(static_cast<http_method>(reader.method()));
     request.target = reader.target();
-    reader.pass_on(request.fields, {"Authorization", "X-Tenant", "X-Time-Left-Ms", "X-Expect-Instance"});
+    reader.append_forwarded_fields(request.fields,
+                                   {"Authorization", "X-Tenant", "X-Time-Left-Ms", "X-Expect-Instance"});
     request.chunked = reader.chunked();
     const runtime::Time deadline = runtime::tenths(request.routed.route->deadline);
     const runtime::Time patience = parse_time_left(reader.field("X-Time-Left-Ms")).value_or(deadline);
@@ -127,7 +128,7 @@
     if (request.body.size() >= held_body) return;  // waits with the reader until a host takes it
     request.body.append(reader.body());
     reader.body().clear();
-    request.complete = reader.whole();
+    request.complete = reader.complete();
     const bool enough = request.complete || request.body.size() >= held_body;
     if (enough && !request.asked) check_quota(id, request);
 }
@@ -148,7 +149,7 @@
 // What a slow host does not take waits with the client's reader, until `attempt_writable`.
 void Proxy::forward_body(Request& request, net::HttpReader& reader) {
     if (!request.attempt || upstreams_.unsent(request.attempt) > most_unsent) return;
-    request.complete = reader.whole();
+    request.complete = reader.complete();
     upstreams_.send_body(request.attempt, reader.body(), request.complete);
     reader.body().clear();
 }
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -111,7 +111,7 @@
     const auto found = calls_.extract({tenant, sequence});
     if (!found) return;  // too late: the bucket has decided
     Call& call = found.mapped();
-    loop_.deadlines().drop(call.deadline);
+    loop_.deadlines().cancel(call.deadline);
     if (call.holder != self_) {
         answered_at_ = loop_.now();
         Holder& holder = holders_[call.holder];
--- a/src/gateway/service_pool.cpp
+++ b/src/gateway/service_pool.cpp
@@ -61,7 +61,7 @@
 }
 
 ServicePool::~ServicePool() {
-    for (auto& [token, key] : alarms_) loop_.deadlines().drop(key);
+    for (auto& [token, key] : alarms_) loop_.deadlines().cancel(key);
 }
 
 bool ServicePool::holds(const Endpoint& endpoint) const {
@@ -124,7 +124,7 @@
 void ServicePool::cancel_timer(std::uint64_t token) {
     const auto found = alarms_.find(token);
     if (found == alarms_.end()) return;
-    loop_.deadlines().drop(found->second);
+    loop_.deadlines().cancel(found->second);
     alarms_.erase(found);
 }
 
--- a/src/gateway/upstreams.cpp
+++ b/src/gateway/upstreams.cpp
@@ -92,9 +92,9 @@
         const AttemptId id = host.idle.back();
         host.idle.pop_back();
         Connection& connection = *connections_.find(id);
-        loop_.deadlines().drop(connection.deadline);
+        loop_.deadlines().cancel(connection.deadline);
         // Bytes after the last answer, or its end, make it unfit.
-        if (loop_.connections().quiet(connection.socket)) return id;
+        if (loop_.connections().is_quiet(connection.socket)) return id;
         close(id);
     }
     return 0;
@@ -102,7 +102,7 @@
 
 AttemptId Upstreams::open(EndpointId endpoint, Host& host) {
     if (host.connections >= host.most_connections) return 0;
-    if (!loop_.connections().room(reserved_connections)) return 0;
+    if (!loop_.connections().has_room(reserved_connections)) return 0;
     const AttemptId id = connections_.add(endpoint);
     if (!id) return 0;
     const net::Handle socket = loop_.connections().open(host.address, *this, id, connect_limit);
@@ -171,7 +171,8 @@
 std::size_t Upstreams::unsent(AttemptId attempt) {
     const Connection* const connection = connections_.find(attempt);
     if (!connection) return 0;
-    return connection->waiting.size() + (connection->up ? loop_.connections().unsent(connection->socket) : 0);
+    return connection->waiting.size() +
+           (connection->up ? loop_.connections().unsent_bytes(connection->socket) : 0);
 }
 
 void Upstreams::pause(AttemptId attempt) {
@@ -182,7 +183,7 @@
     Connection* const connection = connections_.find(attempt);
     if (!connection || !connection->paused) return;
     connection->paused = false;
-    loop_.connections().again(connection->socket);
+    loop_.connections().redeliver(connection->socket);
 }
 
 void Upstreams::abandon(AttemptId attempt) {
@@ -203,7 +204,8 @@
     connection->up = true;
     loop_.connections().send(connection->socket, {connection->waiting});
     connection->waiting = {};
-    if (loop_.connections().unsent(connection->socket) == 0) user_.attempt_writable(connection->request);
+    if (loop_.connections().unsent_bytes(connection->socket) == 0)
+        user_.attempt_writable(connection->request);
 }
 
 void Upstreams::received(net::Handle socket, std::uint32_t id) {
@@ -217,21 +219,21 @@
     const net::HttpReader::State state = connection->reader.read(loop_.connections().in(socket));
     if (state == net::HttpReader::State::bad) return over(id, AttemptOutcome::broken);
     if (connection->reader.head_read() && connection->reader.ends_with_connection() &&
-        !connection->reader.whole()) {
+        !connection->reader.complete()) {
         return over(id, AttemptOutcome::broken);  // where its body ends can't be told
     }
-    if (state == net::HttpReader::State::whole) return answer_read(id);
+    if (state == net::HttpReader::State::complete) return answer_read(id);
     if (connection->reader.head_read() && connection->reader.body().size() >= held_answer)
         stream(id, *connection);
     const Connection* const left = connections_.find(id);
     // The rest of the ring is read in the next turn; nothing else may come to ask for it.
     if (left && left->request && !left->paused && !loop_.connections().in(socket).empty()) {
-        loop_.connections().again(socket);
+        loop_.connections().redeliver(socket);
     }
 }
 
 bool Upstreams::sent_wholly(const Connection& connection) const {
-    return connection.request_complete && loop_.connections().unsent(connection.socket) == 0;
+    return connection.request_complete && loop_.connections().unsent_bytes(connection.socket) == 0;
 }
 
 // An answer to an earlier request may stand in the place of this one's: the id shows which it is. An answer
@@ -250,7 +252,7 @@
             return over(id, AttemptOutcome::broken);
         connection.reader.next();
         if (connection.bodiless_answer) connection.reader.expect_no_body();
-        loop_.connections().again(connection.socket);
+        loop_.connections().redeliver(connection.socket);
         return;
     }
     // Before its last byte was written the host can't have run it: whatever this is, it is no answer to it.
@@ -269,7 +271,7 @@
     if (success && !connection.reader.has_field("X-Server-Seal")) return AttemptOutcome::broken;
     if (connection.reader.has_field("Content-Encoding")) return AttemptOutcome::broken;
     const bool coded = connection.reader.has_field("Transfer-Encoding");
-    if (coded && !net::same_word(connection.reader.field("Transfer-Encoding"), "chunked")) {
+    if (coded && !net::equal_ignoring_case(connection.reader.field("Transfer-Encoding"), "chunked")) {
         return AttemptOutcome::broken;
     }
     return AttemptOutcome::answered;
@@ -288,7 +290,7 @@
 HostAnswer Upstreams::take_answer(Connection& connection) const {
     HostAnswer answer;
     answer.status = static_cast<int>(connection.reader.status());
-    connection.reader.pass_on(answer.fields, {"X-Server-Load", "X-Instance-Id", "X-Cold-Ms"});
+    connection.reader.append_forwarded_fields(answer.fields, {"X-Server-Load", "X-Instance-Id", "X-Cold-Ms"});
     answer.body = std::exchange(connection.reader.body(), {});
     answer.length = connection.reader.stated_length();
     answer.bodiless = connection.bodiless_answer || answer.status == 204 || answer.status == 304;
@@ -319,7 +321,7 @@
     if (!connection || !connection->request) return;
     const RequestId request = std::exchange(connection->request, 0);
     const EndpointId endpoint = connection->endpoint;
-    loop_.deadlines().drop(connection->deadline);
+    loop_.deadlines().cancel(connection->deadline);
     AttemptResult result;
     result.outcome = outcome;
     result.took = loop_.now() - connection->started;
@@ -355,7 +357,7 @@
 void Upstreams::close(AttemptId id) {
     Connection* const connection = connections_.find(id);
     if (!connection) return;
-    loop_.deadlines().drop(connection->deadline);
+    loop_.deadlines().cancel(connection->deadline);
     if (connection->socket) loop_.connections().close(connection->socket);
     const EndpointId endpoint = connection->endpoint;
     connections_.remove(id);
--- a/src/gateway/upstreams.h
+++ b/src/gateway/upstreams.h
@@ -66,7 +66,7 @@
     bool bodiless_answer = false;  // of HEAD
 };
 
-class Upstreams : net::User {
+class Upstreams : net::ConnectionHandler {
   public:
     Upstreams(runtime::EventLoop& loop, AttemptUser& user);
 
--- a/src/net/check.cpp
+++ b/src/net/check.cpp
@@ -103,7 +103,7 @@
             Decisions(nobody, settings, 1, 0);
             return all;
         } catch (const errors::BadSetting& fault) {
-            const std::string& name = fault.to_what();
+            const std::string& name = fault.subject();
             all.push_back(fault);
             settings[name] =
                 name.size() > 8 && name.compare(name.size() - 8, 8, ".repeats") == 0 ? "retriable" : "1";
@@ -121,7 +121,7 @@
 
 }  // namespace
 
-std::vector<errors::Complaint> check_configuration(const std::string& text, const std::string& file) {
+std::vector<errors::FileProblem> check_configuration(const std::string& text, const std::string& file) {
     json read;
     try {
         read = json::parse(text);
@@ -134,20 +134,21 @@
     }
     if (!read.is_object()) return {{file, 1, "", "must be a JSON object"}};
     const Lines lines(text);
-    std::vector<errors::Complaint> all;
+    std::vector<errors::FileProblem> all;
     Settings settings;
     for (const errors::BadSetting& fault : configuration_faults(text, settings)) {
-        const std::string& key = fault.to_what();
+        const std::string& key = fault.subject();
         const std::string near = fault.missing ? errors::did_you_mean(key, keys_of(read)) : "";
         all.push_back({file, lines.of(key), key, fault.happened() + near});
     }
     for (const errors::BadSetting& fault : setting_faults(settings)) {
-        const std::string name = "settings." + operator_name(fault.to_what());
+        const std::string name = "settings." + operator_name(fault.subject());
         all.push_back(
-            {file, lines.of(name), name, fault.happened() + " (" + fault.to_what() + " in our words)"});
+            {file, lines.of(name), name, fault.happened() + " (" + fault.subject() + " in our words)"});
     }
-    std::stable_sort(all.begin(), all.end(),
-                     [](const errors::Complaint& a, const errors::Complaint& b) { return a.line < b.line; });
+    std::stable_sort(all.begin(), all.end(), [](const errors::FileProblem& a, const errors::FileProblem& b) {
+        return a.line < b.line;
+    });
     return all;
 }
 
--- a/src/net/check.h
+++ b/src/net/check.h
@@ -10,6 +10,6 @@
 
 namespace dewweir::net {
 
-std::vector<errors::Complaint> check_configuration(const std::string& text, const std::string& file);
+std::vector<errors::FileProblem> check_configuration(const std::string& text, const std::string& file);
 
 }  // namespace dewweir::net
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -9,13 +9,13 @@
 namespace dewweir::net {
 namespace {
 
-constexpr Time tenths_a_second = 10000;
+constexpr Time tenths_per_second = 10000;
 // New connections are told to come for 0.4 s after SIGTERM; a margin on top.
-constexpr Time accept_after_stop = 6000;
-constexpr Time quiet = tenths_a_second / 4;
+constexpr Time accept_time_after_stop = 6000;
+constexpr Time quiet_time = tenths_per_second / 4;
 // A connection with nothing open may go after 2 s; whoever sends no whole message is owed an end within 3 s.
-constexpr Time most_idle = 22 * tenths_a_second / 10, slow_message = 24 * tenths_a_second / 10;
-constexpr Time slow_reader = 10 * tenths_a_second;  // for one answer
+constexpr Time idle_timeout = 22 * tenths_per_second / 10, message_timeout = 24 * tenths_per_second / 10;
+constexpr Time answer_read_timeout = 10 * tenths_per_second;  // for one answer
 
 const char* reason(int status) {
     switch (status) {
@@ -42,38 +42,39 @@
     return fault == std::errc() && end == text.data() + text.size() && std::isfinite(to);
 }
 
-int place_of(const std::vector<std::string>& names, std::string_view name) {
+int index_of(const std::vector<std::string>& names, std::string_view name) {
     const auto at = std::find(names.begin(), names.end(), name);
     return at == names.end() ? -1 : static_cast<int>(at - names.begin());
 }
 
 // units=2,spread=3,first=1: each once, the set within the gateways that there are.
-bool read_metering(std::string_view text, const Configuration& told, double& units, int& spread) {
+bool read_metering(std::string_view text, const Configuration& configuration, double& units, int& spread) {
     bool has_units = false, has_spread = false, has_first = false;
     int first = 0;
     while (!text.empty()) {
-        const std::string_view part = text.substr(0, text.find(','));
-        text.remove_prefix(std::min(part.size() + 1, text.size()));
-        const std::size_t equals = std::min(part.find('='), part.size());
-        std::string_view name = part.substr(0, equals),
-                         value = part.substr(std::min(equals + 1, part.size()));
+        const std::string_view item = text.substr(0, text.find(','));
+        text.remove_prefix(std::min(item.size() + 1, text.size()));
+        const std::size_t equals = std::min(item.find('='), item.size());
+        std::string_view name = item.substr(0, equals),
+                         value = item.substr(std::min(equals + 1, item.size()));
         while (!name.empty() && name.front() == ' ') name.remove_prefix(1);
         const auto once = [](bool& has, bool reads) { return std::exchange(has, true) ? false : reads; };
         if (name == "units" && !once(has_units, read_number(value, units))) return false;
         if (name == "spread" && !once(has_spread, read_number(value, spread, 10))) return false;
         if (name == "first" && !once(has_first, read_number(value, first, 10))) return false;
     }
-    return has_units && has_spread && has_first && units > 0 && units <= told.largest && spread >= 1 &&
-           spread <= told.gateways && first >= 0 && first < told.gateways;
+    return has_units && has_spread && has_first && units > 0 && units <= configuration.max_request_units &&
+           spread >= 1 && spread <= configuration.gateways && first >= 0 && first < configuration.gateways;
 }
 
 }  // namespace
 
-Clients::Clients(const Part& part, Intake& intake) : Part(part), intake_(intake), acceptor_(io_) {
+Clients::Clients(const NodeContext& context, RequestHandler& handler)
+    : NodeContext(context), handler_(handler), acceptor_(io_) {
     acceptor_.open(tcp::v4());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     std::error_code fault;
-    acceptor_.bind(told_.listen, fault);
+    acceptor_.bind(configuration_.listen, fault);
     if (!fault) acceptor_.listen(asio::socket_base::max_listen_connections, fault);
     if (fault) throw errors::CannotListen("listen", fault.message());
     acceptor_.non_blocking(true);
@@ -83,75 +84,75 @@
 void Clients::accept() {
     acceptor_.async_wait(tcp::acceptor::wait_read, [this](const std::error_code& ended) {
         if (ended || !acceptor_.is_open()) return;
-        deadlines_.turn();
+        deadlines_.update_now();
         // A quarter of the descriptors stays for the other side. There one that has stood idle for longest
         // goes for the one that waits; while none is idle, whoever gets an answer is let go.
-        crowded_ = !connections_.room(0.25);
-        if (crowded_) make_room();
-        if (!connections_.room(0.25)) return accept_later();
+        short_of_sockets_ = !connections_.has_room(0.25);
+        if (short_of_sockets_) close_longest_idle();
+        if (!connections_.has_room(0.25)) return retry_accept_later();
         std::error_code fault;
         tcp::socket socket = acceptor_.accept(fault);
         if (!fault) {
-            welcome(std::move(socket));
+            add_client(std::move(socket));
             return accept();
         }
         if (fault != asio::error::would_block)
-            log_.tell(Event::clients_not_accepted, "clients: cannot accept: " + fault.message(),
-                      {{"why", fault.message()}});
-        make_room();
-        accept_later();
+            log_.record(Event::clients_not_accepted, "clients: cannot accept: " + fault.message(),
+                        {{"why", fault.message()}});
+        close_longest_idle();
+        retry_accept_later();
     });
 }
 
-void Clients::accept_later() {
+void Clients::retry_accept_later() {
     deadlines_.after(50, [this] {
         if (acceptor_.is_open()) accept();
     });
 }
 
-void Clients::welcome(tcp::socket socket) {
+void Clients::add_client(tcp::socket socket) {
     const Handle mark = clients_.add();
     if (!mark) return;
     Client& client = *clients_.find(mark);
     client.idle_since = deadlines_.now();
     client.connection = connections_.adopt(std::move(socket), *this, mark);
     if (!client.connection) return clients_.remove(mark);
-    limit(mark, client, slow_message);
+    set_deadline(mark, client, message_timeout);
 }
 
-void Clients::limit(Handle mark, Client& client, Time within) {
-    deadlines_.drop(client.limit);
-    client.limit = deadlines_.after(within, [this, mark] { overdue(mark); });
+void Clients::set_deadline(Handle mark, Client& client, Time from_now) {
+    deadlines_.cancel(client.deadline);
+    client.deadline = deadlines_.after(from_now, [this, mark] { deadline_passed(mark); });
 }
 
 // Silent since it was opened or answered, slow to send a message, or slow to read its answer.
-void Clients::overdue(Handle mark) {
+void Clients::deadline_passed(Handle mark) {
     Client& client = *clients_.find(mark);
-    client.limit = {};
-    if (connections_.unsent(client.connection)) return let_go(mark, client);
+    client.deadline = {};
+    if (connections_.unsent_bytes(client.connection)) return close_after_answer(mark, client);
     if (!client.reader.begun()) {
-        if (connections_.quiet(client.connection)) return close_idle(mark);
-        return limit(mark, client, quiet);  // just come: its turn is next
+        if (connections_.is_quiet(client.connection)) return close_idle(mark);
+        return set_deadline(mark, client, quiet_time);  // just come: its turn is next
     }
-    client.last = true;
-    plain(client, 408, "the message did not end in time\n");
-    let_go(mark, client);
+    client.closing = true;
+    answer_text(client, 408, "the message did not end in time\n");
+    close_after_answer(mark, client);
 }
 
-// A message may be on its way to a connection just opened or just answered; one that has been quiet for a
-// while can go.
-bool Clients::idle(Client& client) {
-    return !client.busy && !client.reader.begun() && deadlines_.now() - client.idle_since >= quiet &&
-           !connections_.unsent(client.connection) && connections_.quiet(client.connection);
+// A message may be on its way to a connection just opened or just answered; one that has been quiet_time for
+// a while can go.
+bool Clients::is_idle(Client& client) {
+    return !client.busy && !client.reader.begun() && deadlines_.now() - client.idle_since >= quiet_time &&
+           !connections_.unsent_bytes(client.connection) && connections_.is_quiet(client.connection);
 }
 
 // The client idle for longest goes, those that have never sent anything first.
-void Clients::make_room() {
+void Clients::close_longest_idle() {
     Handle oldest = 0;
     std::pair<bool, Time> since;
     clients_.each([&](Handle mark, Client& client) {
-        const std::pair<bool, Time> own{client.known, client.idle_since};
-        if ((oldest && own >= since) || !idle(client)) return;
+        const std::pair<bool, Time> own{client.has_sent_message, client.idle_since};
+        if ((oldest && own >= since) || !is_idle(client)) return;
         oldest = mark;
         since = own;
     });
@@ -162,45 +163,46 @@
 void Clients::close_idle(Handle mark) {
     Client& client = *clients_.find(mark);
     connections_.close(client.connection);
-    forget(mark, client);
+    remove(mark, client);
 }
 
-void Clients::let_go(Handle mark, Client& client) {
-    connections_.finish(client.connection);
-    forget(mark, client);
+void Clients::close_after_answer(Handle mark, Client& client) {
+    connections_.close_gracefully(client.connection);
+    remove(mark, client);
 }
 
-void Clients::forget(Handle mark, Client& client) {
-    deadlines_.drop(client.limit);
-    known_ -= client.known;
+void Clients::remove(Handle mark, Client& client) {
+    deadlines_.cancel(client.deadline);
+    active_clients_ -= client.has_sent_message;
     clients_.remove(mark);
 }
 
 void Clients::received(Handle connection, std::uint32_t mark) {
     Client* client = clients_.find(mark);
     // One request at a time; what comes early waits in the ring.
-    if (!client || client->busy || connections_.unsent(connection)) return;
+    if (!client || client->busy || connections_.unsent_bytes(connection)) return;
     const HttpReader::State state = client->reader.read(connections_.in(connection));
     if (state == HttpReader::State::more) {
         // The first message's time began with the connection.
-        if (client->reader.begun() && client->known && !client->late) limit(mark, *client, slow_message);
-        client->late |= client->reader.begun();
+        if (client->reader.begun() && client->has_sent_message && !client->message_timed)
+            set_deadline(mark, *client, message_timeout);
+        client->message_timed |= client->reader.begun();
         return;
     }
-    deadlines_.drop(client->limit);
-    known_ += !std::exchange(client->known, true);
-    client->late = false;
+    deadlines_.cancel(client->deadline);
+    active_clients_ += !std::exchange(client->has_sent_message, true);
+    client->message_timed = false;
     if (state == HttpReader::State::bad) {
-        client->last = true;
-        plain(*client, client->reader.fault(), "this is no message of HTTP/1.1 within our limits\n");
-        return let_go(mark, *client);
+        client->closing = true;
+        answer_text(*client, client->reader.fault(), "this is no message of HTTP/1.1 within our limits\n");
+        return close_after_answer(mark, *client);
     }
-    whole_message(mark, *client);
+    handle_message(mark, *client);
 }
 
-void Clients::whole_message(Handle mark, Client& client) {
+void Clients::handle_message(Handle mark, Client& client) {
     HttpReader& reader = client.reader;
-    client.last |= !reader.keep_alive() || stopping_;
+    client.closing |= !reader.keep_alive() || stopping_;
     ReceivedRequest received{};
     std::string_view wrong;
     int status = 400;
@@ -211,60 +213,61 @@
         status = 405;
         wrong = "GET or POST\n";
     } else {
-        wrong = what_is_wrong(reader, received);
-        if (wrong.empty() && intake_.has_open(received.id)) {
+        wrong = parse_request(reader, received);
+        if (wrong.empty() && handler_.is_open(received.id)) {
             status = 409;
             wrong = "X-Request-Id: of a request that is open\n";
         }
     }
     if (!wrong.empty()) {
-        plain(client, status, wrong);
+        answer_text(client, status, wrong);
         reader.next();
-        if (client.last) return let_go(mark, client);
-        return rest(mark, client);
+        if (client.closing) return close_after_answer(mark, client);
+        return await_next_request(mark, client);
     }
     reader.next();
     client.busy = true;
     // The answer may come within this call; the client's record may be gone after it.
-    const Handle request = intake_.request_received(mark, std::move(received));
-    Client* const still = clients_.find(mark);
-    if (!request && still) answer(mark, 503, {}, "no room for another submission\n");
-    else if (still && still->busy) still->request = request;
+    const Handle request = handler_.request_received(mark, std::move(received));
+    Client* const remaining = clients_.find(mark);
+    if (!request && remaining) answer(mark, 503, {}, "no room for another submission\n");
+    else if (remaining && remaining->busy) remaining->request = request;
 }
 
-std::string_view Clients::what_is_wrong(HttpReader& reader, ReceivedRequest& received) const {
+std::string_view Clients::parse_request(HttpReader& reader, ReceivedRequest& received) const {
     const bool get = reader.method() == HTTP_GET;
     if (get && !reader.body().empty()) return "GET has no body\n";
     if (reader.target().front() != '/') return "the path must begin with /\n";
     if (reader.field("X-Request-Id").empty()) return "X-Request-Id: missing or twice\n";
     received.id = reader.field("X-Request-Id");
-    received.route_class = place_of(told_.route_classes, reader.field("X-Class"));
+    received.route_class = index_of(configuration_.route_classes, reader.field("X-Class"));
     if (received.route_class < 0) return "X-Class: missing or unknown\n";
-    if (told_.idempotent[static_cast<std::size_t>(received.route_class)] != get)
+    if (configuration_.idempotent[static_cast<std::size_t>(received.route_class)] != get)
         return "the class decides the method: GET if it is safe to repeat, else POST\n";
-    received.plan = place_of(told_.plans, reader.field("X-Contract"));
-    if (received.plan < 0) return "X-Contract: missing or unknown\n";
+    received.quota_plan = index_of(configuration_.plans, reader.field("X-Contract"));
+    if (received.quota_plan < 0) return "X-Contract: missing or unknown\n";
     const std::string_view tenant = reader.field("X-Client-Id");
     if (tenant.size() != 16 || !read_number(tenant, received.tenant, 16) || received.tenant >> 33)
         return "X-Client-Id: must be 16 hex digits, below 2^33\n";
-    double patience = 0;
-    if (!read_number(reader.field("X-Deadline"), patience) || !(patience > 0 && patience <= 3600))
+    double time_limit = 0;
+    if (!read_number(reader.field("X-Deadline"), time_limit) || !(time_limit > 0 && time_limit <= 3600))
         return "X-Deadline: must be seconds, up to 3600\n";
-    received.patience = static_cast<Time>(patience * tenths_a_second);
-    if (!read_metering(reader.field("X-Metering"), told_, received.units, received.gateways))
+    received.time_limit = static_cast<Time>(time_limit * tenths_per_second);
+    if (!read_metering(reader.field("X-Metering"), configuration_, received.units, received.gateways))
         return "X-Metering: must give units, spread and first, each once and in range\n";
     received.head.reserve(512);
     received.head.append(get ? "GET " : "POST ").append(reader.target()).append(" HTTP/1.1\r\n");
-    reader.pass_on(received.head, {"X-Deadline"});
+    reader.append_forwarded_fields(received.head, {"X-Deadline"});
     if (!get)
         received.head.append("Content-Length: ").append(std::to_string(reader.body().size())).append("\r\n");
     received.body = std::move(reader.body());
     return {};
 }
 
-void Clients::plain(Client& client, int status, std::string_view why) {
+void Clients::answer_text(Client& client, int status, std::string_view why) {
     if (status >= 400 && status < 500 && log_.shows(Event::client_refused))
-        log_.tell(Event::client_refused, "clients: " + std::string(why), {{"status", status}, {"why", why}});
+        log_.record(Event::client_refused, "clients: " + std::string(why),
+                    {{"status", status}, {"why", why}});
     write(client, status, "Content-Type: text/plain\r\n", why);
 }
 
@@ -273,35 +276,35 @@
     head.reserve(128 + fields.size());
     head.append("HTTP/1.1 ").append(reason(status)).append("\r\n").append(fields);
     head.append("Content-Length: ").append(std::to_string(body.size()));
-    head.append(client.last ? "\r\nConnection: close\r\n\r\n" : "\r\n\r\n");
+    head.append(client.closing ? "\r\nConnection: close\r\n\r\n" : "\r\n\r\n");
     connections_.send(client.connection, {head, body});
 }
 
 void Clients::answer(Handle mark, int status, std::string_view fields, std::string_view body) {
     Client* const client = clients_.find(mark);
     if (!client) return;
-    client->last |= stopping_ || crowded_;
+    client->closing |= stopping_ || short_of_sockets_;
     write(*client, status, fields, body);
     client->busy = false;
     client->request = 0;
-    if (client->last) return let_go(mark, *client);
-    rest(mark, *client);
+    if (client->closing) return close_after_answer(mark, *client);
+    await_next_request(mark, *client);
 }
 
 // Its message is answered: it may read that answer, stand idle for a while, or have sent its next one
 // already.
-void Clients::rest(Handle mark, Client& client) {
+void Clients::await_next_request(Handle mark, Client& client) {
     client.idle_since = deadlines_.now();
-    const bool unsent = connections_.unsent(client.connection);
+    const bool unsent = connections_.unsent_bytes(client.connection);
     // Clients hold a third of the descriptors at most. Those that ask once and stay would leave the others
     // none: from half of that on, whoever stands idle goes soon.
-    const bool many = 6 * known_ > told_.sockets;
-    limit(mark, client, unsent ? slow_reader : many ? quiet : most_idle);
-    if (!unsent && !connections_.in(client.connection).empty()) connections_.again(client.connection);
+    const bool many = 6 * active_clients_ > configuration_.max_sockets;
+    set_deadline(mark, client, unsent ? answer_read_timeout : many ? quiet_time : idle_timeout);
+    if (!unsent && !connections_.in(client.connection).empty()) connections_.redeliver(client.connection);
 }
 
 void Clients::drained(Handle handle, std::uint32_t mark) {
-    if (Client* const client = clients_.find(mark)) limit(mark, *client, most_idle);
+    if (Client* const client = clients_.find(mark)) set_deadline(mark, *client, idle_timeout);
     received(handle, mark);
 }
 
@@ -309,20 +312,20 @@
     Client* const client = clients_.find(mark);
     if (!client) return;
     const Handle request = client->request;
-    forget(mark, *client);
-    if (request) intake_.client_gone(request);
+    remove(mark, *client);
+    if (request) handler_.client_disconnected(request);
 }
 
 void Clients::stop(std::function<void()> done) {
     if (stopping_) return;
     stopping_ = true;
     done_ = std::move(done);
-    log_.tell(Event::gateway_stopping, "stopping: not ready any more; what was taken is answered");
-    deadlines_.after(accept_after_stop, [this] {
+    log_.record(Event::gateway_stopping, "stopping: not ready any more; what was taken is answered");
+    deadlines_.after(accept_time_after_stop, [this] {
         // What the system has accepted for us counts as taken: it is fetched before the door closes.
         for (std::error_code fault; !fault;) {
             tcp::socket socket = acceptor_.accept(fault);
-            if (!fault) welcome(std::move(socket));
+            if (!fault) add_client(std::move(socket));
         }
         std::error_code ignored;
         acceptor_.close(ignored);
@@ -330,14 +333,14 @@
     });
 }
 
-// Clients may still use a connection that they have; those that do are let go with their answer.
+// Clients may remaining use a connection that they have; those that do are let go with their answer.
 void Clients::close_all_idle() {
-    std::vector<Handle> quiet_ones;
+    std::vector<Handle> idle_clients;
     clients_.each([&](Handle mark, Client& client) {
-        if (idle(client)) quiet_ones.push_back(mark);
+        if (is_idle(client)) idle_clients.push_back(mark);
     });
-    for (const Handle mark : quiet_ones) close_idle(mark);
-    if (clients_.size() || connections_.finishing()) deadlines_.after(200, [this] { close_all_idle(); });
+    for (const Handle mark : idle_clients) close_idle(mark);
+    if (clients_.size() || connections_.closing()) deadlines_.after(200, [this] { close_all_idle(); });
     else done_();
 }
 
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -11,27 +11,27 @@
 namespace dewweir::net {
 
 struct ReceivedRequest {  // a request as a client put it
-    int route_class, plan;
+    int route_class, quota_plan;
     std::uint64_t tenant;
     double units;
     int gateways;
-    Time patience;
+    Time time_limit;
     std::string id;          // the client's own
     std::string head, body;  // as it goes to a host: the first line, and the fields that pass through
 };
 
-class Intake {
+class RequestHandler {
   public:
-    virtual ~Intake() = default;
+    virtual ~RequestHandler() = default;
     virtual Handle request_received(Handle client,
                                     ReceivedRequest&& received) = 0;  // 0: no room for it
-    virtual bool has_open(const std::string& id) const = 0;
-    virtual void client_gone(Handle request) = 0;
+    virtual bool is_open(const std::string& id) const = 0;
+    virtual void client_disconnected(Handle request) = 0;
 };
 
-class Clients : public User, Part {
+class Clients : public ConnectionHandler, NodeContext {
   public:
-    Clients(const Part& part, Intake& intake);
+    Clients(const NodeContext& context, RequestHandler& handler);
 
     // The one answer to what this client has open.
     void answer(Handle client, int status, std::string_view fields, std::string_view body);
@@ -46,35 +46,35 @@
     struct Client {
         HttpReader reader{HTTP_REQUEST};
         Handle connection = 0, request = 0;
-        bool busy = false, last = false;  // `last`: its answer ends the connection
-        bool known = false;               // has sent a whole message
-        bool late = false;                // its message has a limit from its first byte
-        Time idle_since = 0;              // since it was opened, or answered last
-        Deadlines::Key limit{};           // to send a message, to read its answer, or to stand idle
+        bool busy = false, closing = false;  // `last`: its answer ends the connection
+        bool has_sent_message = false;       // has sent a whole message
+        bool message_timed = false;          // its message has a limit from its first byte
+        Time idle_since = 0;                 // since it was opened, or answered last
+        Deadlines::Key deadline{};           // to send a message, to read its answer, or to stand idle
     };
 
     void accept();
-    void accept_later();
-    void welcome(tcp::socket socket);
-    bool idle(Client& client);
-    void limit(Handle mark, Client& client, Time within);
-    void overdue(Handle mark);
-    void make_room();
-    void whole_message(Handle mark, Client& client);
-    std::string_view what_is_wrong(HttpReader& reader, ReceivedRequest& received) const;
-    void plain(Client& client, int status, std::string_view why);
+    void retry_accept_later();
+    void add_client(tcp::socket socket);
+    bool is_idle(Client& client);
+    void set_deadline(Handle mark, Client& client, Time from_now);
+    void deadline_passed(Handle mark);
+    void close_longest_idle();
+    void handle_message(Handle mark, Client& client);
+    std::string_view parse_request(HttpReader& reader, ReceivedRequest& received) const;
+    void answer_text(Client& client, int status, std::string_view why);
     void write(Client& client, int status, std::string_view fields, std::string_view body);
-    void rest(Handle mark, Client& client);
-    void let_go(Handle mark, Client& client);
-    void forget(Handle mark, Client& client);
+    void await_next_request(Handle mark, Client& client);
+    void close_after_answer(Handle mark, Client& client);
+    void remove(Handle mark, Client& client);
     void close_idle(Handle mark);
     void close_all_idle();
 
-    Intake& intake_;
+    RequestHandler& handler_;
     tcp::acceptor acceptor_;
     Slots<Client> clients_;
-    std::size_t known_ = 0;  // how many of them have sent a whole message
-    bool stopping_ = false, crowded_ = false;
+    std::size_t active_clients_ = 0;  // how many of them have sent a whole message
+    bool stopping_ = false, short_of_sockets_ = false;
     std::function<void()> done_;
 };
 
--- a/src/net/configuration.cpp
+++ b/src/net/configuration.cpp
@@ -49,7 +49,7 @@
 }
 
 tcp::endpoint address_at(const json& from, const std::string& key) {
-    return address_of(key, text_of(from, key));
+    return parse_address(key, text_of(from, key));
 }
 
 // The settings, path by path; a list of plain values is one value, a list of objects is counted.
@@ -78,22 +78,22 @@
     return found == settings.end() ? nullptr : &found->second;
 }
 
-double figure_of(const Settings& settings, const std::string& name, double otherwise, double least,
-                 double most) {
+double setting_number(const Settings& settings, const std::string& name, double otherwise, double least,
+                      double most) {
     const std::string* const text = setting(settings, name);
     if (!text) return otherwise;
     char* end = nullptr;
-    const double figure = std::strtod(text->c_str(), &end);
-    if (text->empty() || *end || !(figure >= least && figure <= most))
+    const double number = std::strtod(text->c_str(), &end);
+    if (text->empty() || *end || !(number >= least && number <= most))
         throw BadSetting("settings." + name, "must be a number, and in range");
-    return figure;
+    return number;
 }
 
-Time time_of(const Settings& settings, const std::string& name, Time otherwise) {
-    return std::llround(figure_of(settings, name, static_cast<double>(otherwise) / 10, 0, 1e9) * 10);
+Time setting_time(const Settings& settings, const std::string& name, Time otherwise) {
+    return std::llround(setting_number(settings, name, static_cast<double>(otherwise) / 10, 0, 1e9) * 10);
 }
 
-std::vector<std::string> names_of(const Settings& settings, const std::string& list) {
+std::vector<std::string> setting_names_of(const Settings& settings, const std::string& list) {
     std::vector<std::string> names;
     const std::string* count = setting(settings, list + ".count");
     for (int n = 0; count && n < std::atoi(count->c_str()); ++n) {
@@ -104,17 +104,17 @@
     return names;
 }
 
-Listing listing_of(const json& from, const std::vector<std::string>& zones) {
-    Listing listing;
+HostList host_list_of(const json& from, const std::vector<std::string>& zones) {
+    HostList listing;
     listing.revision = static_cast<std::uint64_t>(number_of(from, "revision", 0, 9e15));
     const json& complete = member(from, "complete");
     if (!complete.is_boolean()) throw BadSetting("complete", "must be true or false");
-    listing.whole = complete.get<bool>();
+    listing.complete = complete.get<bool>();
     const json& members = member(from, "members");
     if (!members.is_array()) throw BadSetting("members", "must be a list");
     for (const json& one : members) {
         if (!one.is_object()) throw BadSetting("members", "must hold objects");
-        Entry entry;
+        HostEntry entry;
         entry.id = text_of(one, "id");
         const std::string phase = text_of(one, "phase");
         if (phase == "in_service") entry.state = HostState::ready;
@@ -135,7 +135,7 @@
 }
 
 // Each step on its own: its fault ends the reading, or is put on a list that is asked for.
-struct Steps {
+struct StepRunner {
     std::vector<BadSetting>* faults;
     template <class Do> void operator()(Do read) const {
         if (!faults) return read();
@@ -147,7 +147,7 @@
 
 Configuration configuration_of(const json& from, std::vector<BadSetting>* faults = nullptr) {
     Configuration c;
-    const Steps step{faults};
+    const StepRunner step{faults};
     step([&] { c.name = text_of(from, "name"); });
     step([&] { c.listen = address_at(from, "listen"); });
     step([&] { c.discovery = address_at(from, "discovery"); });
@@ -159,42 +159,43 @@
     });
     step([&] {
         if (from.contains("limits") && member(from, "limits").contains("sockets"))
-            c.sockets = static_cast<std::size_t>(number_of(member(from, "limits"), "sockets", 32, 1e6));
+            c.max_sockets = static_cast<std::size_t>(number_of(member(from, "limits"), "sockets", 32, 1e6));
     });
     step([&] {
-        const json& told = member(from, "settings");
-        if (!told.is_object()) throw BadSetting("settings", "must be an object");
-        flatten(c.settings, told, "");
+        const json& object = member(from, "settings");
+        if (!object.is_object()) throw BadSetting("settings", "must be an object");
+        flatten(c.settings, object, "");
     });
     step([&] {
         const std::string* const counted = setting(c.settings, "service.counter");
         if (counted && *counted == "true") c.counter = address_at(from, "counter");
     });
-    step([&] { c.route_classes = names_of(c.settings, "tracks"); });
-    step([&] { c.plans = names_of(c.settings, "plans"); });
+    step([&] { c.route_classes = setting_names_of(c.settings, "tracks"); });
+    step([&] { c.plans = setting_names_of(c.settings, "plans"); });
     for (std::size_t n = 0; n < c.route_classes.size(); ++n) {
         const std::string* const repeats = setting(c.settings, "tracks." + std::to_string(n) + ".repeats");
         c.idempotent.push_back(repeats && *repeats == "retriable");
         step([&] {
-            c.goals.push_back(time_of(c.settings, "tracks." + std::to_string(n) + ".latency_goal", 0));
+            c.latency_goals.push_back(
+                setting_time(c.settings, "tracks." + std::to_string(n) + ".latency_goal", 0));
         });
     }
-    step([&] { c.gateways = static_cast<int>(figure_of(c.settings, "gateways", 1, 1, 1e6)); });
-    step([&] { c.largest = figure_of(c.settings, "service.largest", 1e6, 0, 1e9); });
+    step([&] { c.gateways = static_cast<int>(setting_number(c.settings, "gateways", 1, 1, 1e6)); });
+    step([&] { c.max_request_units = setting_number(c.settings, "service.largest", 1e6, 0, 1e9); });
     if (const std::string* const zones = setting(c.settings, "zones")) {
         std::istringstream each(*zones);
         for (std::string zone; std::getline(each, zone, ',');) c.zones.push_back(zone);
     }
-    step([&] { c.step = time_of(c.settings, "step", 0); });
-    step([&] { c.connect_within = time_of(c.settings, "limits.connect_within", 2500); });
-    step([&] { c.idle_close = time_of(c.settings, "limits.idle_close", 100000); });
-    step([&] { c.count_limit = time_of(c.settings, "service.count_limit", 500); });
-    step([&] { c.ask_within = time_of(c.settings, "rules.ask_within", 100000); });
+    step([&] { c.timer_step = setting_time(c.settings, "step", 0); });
+    step([&] { c.connect_timeout = setting_time(c.settings, "limits.connect_within", 2500); });
+    step([&] { c.upstream_idle_close = setting_time(c.settings, "limits.idle_close", 100000); });
+    step([&] { c.counter_timeout = setting_time(c.settings, "service.count_limit", 500); });
+    step([&] { c.ask_within = setting_time(c.settings, "rules.ask_within", 100000); });
     const std::string* const mode = setting(c.settings, "discovery");
-    c.ask = mode && *mode == "ask";
+    c.watch_on_request = mode && *mode == "ask";
     step([&] {
         if (from.contains("known") && !from.at("known").is_null())
-            c.known = listing_of(member(from, "known"), c.zones);
+            c.initial_hosts = host_list_of(member(from, "known"), c.zones);
     });
     return c;
 }
@@ -211,11 +212,11 @@
     return faults;
 }
 
-Listing parse_listing(std::string_view text, const std::vector<std::string>& zones) {
-    return listing_of(parsed(text, "list"), zones);
+HostList parse_host_list(std::string_view text, const std::vector<std::string>& zones) {
+    return host_list_of(parsed(text, "list"), zones);
 }
 
-tcp::endpoint address_of(const std::string& key, const std::string& text) {
+tcp::endpoint parse_address(const std::string& key, const std::string& text) {
     const std::size_t colon = text.rfind(':');
     std::error_code fault;
     const auto host = asio::ip::make_address_v4(text.substr(0, std::min(colon, text.size())), fault);
@@ -226,7 +227,7 @@
     return {host, static_cast<unsigned short>(port)};
 }
 
-Level level_of(const std::string& name) {
+Level parse_level(const std::string& name) {
     const std::string names[] = {"error", "warning", "info", "debug"};
     const auto at = std::find(std::begin(names), std::end(names), name);
     if (at == std::end(names)) throw BadSetting("DEWWEIR_LOG", "must be error, warning, info or debug");
@@ -241,7 +242,7 @@
     text << file.rdbuf();
     if (!file) throw BadSetting("EDGE_CONFIG", std::string("cannot read ") + path);
     Configuration c = parse_configuration(text.str());
-    if (const char* const level = std::getenv("DEWWEIR_LOG")) { c.log_level = level_of(level); }
+    if (const char* const level = std::getenv("DEWWEIR_LOG")) { c.log_level = parse_level(level); }
     return c;
 }
 
--- a/src/net/connections.cpp
+++ b/src/net/connections.cpp
@@ -7,53 +7,55 @@
 namespace dewweir::net {
 namespace {
 
-constexpr std::size_t least_read = 4096, most_held = 16384;  // of what has come and waits in the ring
-constexpr Time linger = 10000;                               // a second for a peer to close
-constexpr Time stalled = 300000;                             // half a minute in which a peer takes nothing
-constexpr std::size_t most_discarded = 65536;                // of what it still sends meanwhile
+constexpr std::size_t min_read_bytes = 4096,
+                      max_buffered_bytes = 16384;   // of what has come and waits in the ring
+constexpr Time close_timeout = 10000;               // a second for a peer to close
+constexpr Time stall_timeout = 300000;              // half a minute in which a peer takes nothing
+constexpr std::size_t max_discarded_bytes = 65536;  // of what it still sends meanwhile
 
 }  // namespace
 
-Handle Connections::adopt(tcp::socket socket, User& user, std::uint32_t mark) {
+Handle Connections::adopt(tcp::socket socket, ConnectionHandler& user, std::uint32_t mark) {
     std::error_code fault;
     socket.non_blocking(true, fault);
     socket.set_option(tcp::no_delay(true), fault);
     const Handle handle = connections_.add(std::move(socket), &user, mark);
     if (!handle) return 0;
-    connections_.find(handle)->up = true;
+    connections_.find(handle)->connected = true;
     read(handle);
     return handle;
 }
 
-Handle Connections::open(const tcp::endpoint& to, User& user, std::uint32_t mark, Time within) {
+Handle Connections::open(const tcp::endpoint& to, ConnectionHandler& user, std::uint32_t mark, Time timeout) {
     const Handle handle = connections_.add(tcp::socket(io_), &user, mark);
     if (!handle) return 0;
     Connection& c = *connections_.find(handle);
     std::error_code fault;
     c.socket.open(tcp::v4(), fault);
     if (fault) {
-        asio::post(io_, [this, handle] { connected(handle, false); });
+        asio::post(io_, [this, handle] { connect_ended(handle, false); });
         return handle;
     }
     c.socket.non_blocking(true, fault);
     c.socket.set_option(tcp::no_delay(true), fault);
-    c.socket.async_connect(to, [this, handle](const std::error_code& ended) { connected(handle, !ended); });
-    c.deadline = deadlines_.after(within, [this, handle] { connected(handle, false); });
+    c.socket.async_connect(to,
+                           [this, handle](const std::error_code& ended) { connect_ended(handle, !ended); });
+    c.deadline = deadlines_.after(timeout, [this, handle] { connect_ended(handle, false); });
     return handle;
 }
 
-void Connections::connected(Handle handle, bool up) {
+void Connections::connect_ended(Handle handle, bool connected) {
     Connection* c = connections_.find(handle);
-    if (!c || c->up) return;
-    deadlines_.turn();
-    deadlines_.drop(c->deadline);
-    User* const user = c->user;
+    if (!c || c->connected) return;
+    deadlines_.update_now();
+    deadlines_.cancel(c->deadline);
+    ConnectionHandler* const user = c->user;
     const std::uint32_t mark = c->mark;
-    if (!up) {
+    if (!connected) {
         close(handle);
         return user->opened(handle, mark, false);
     }
-    c->up = true;
+    c->connected = true;
     user->opened(handle, mark, true);
     c = connections_.find(handle);
     if (!c) return;
@@ -61,7 +63,7 @@
     if (!c->out.empty() && !c->writing) write(handle);
 }
 
-bool Connections::quiet(Handle handle) {
+bool Connections::is_quiet(Handle handle) {
     Connection& c = *connections_.find(handle);
     char byte;
     std::error_code fault;
@@ -75,7 +77,7 @@
     Connection* const c = connections_.find(handle);
     if (!c) return;
     c->in.trim();
-    if (!c->up || c->reading || c->half_closed || c->in.size() >= most_held) return;
+    if (!c->connected || c->reading || c->peer_ended_sending || c->in.size() >= max_buffered_bytes) return;
     c->reading = true;
     c->socket.async_wait(tcp::socket::wait_read,
                          [this, handle](const std::error_code& fault) { readable(handle, fault); });
@@ -84,37 +86,37 @@
 void Connections::readable(Handle handle, std::error_code fault) {
     Connection* const c = connections_.find(handle);
     if (!c) return;
-    deadlines_.turn();
+    deadlines_.update_now();
     c->reading = false;
     std::size_t n = 0;
     if (!fault) {
-        c->in.make_room(least_read);
+        c->in.make_room(min_read_bytes);
         const auto space = c->in.space();
         const std::array<asio::mutable_buffer, 2> to = {asio::buffer(space[0].at, space[0].size),
                                                         asio::buffer(space[1].at, space[1].size)};
         n = c->socket.read_some(to, fault);
     }
-    if (fault == asio::error::eof && !c->finishing && c->user->keeps_half_closed(handle, c->mark)) {
-        c->half_closed = true;
+    if (fault == asio::error::eof && !c->closing && c->user->keeps_half_closed(handle, c->mark)) {
+        c->peer_ended_sending = true;
         return;
     }
     if (fault && fault != asio::error::would_block && fault != asio::error::try_again) return ended(handle);
     c->in.commit(n);
-    if (c->finishing) {
+    if (c->closing) {
         // Whoever goes on at full speed is left to the system, and costs no time here.
         c->in.consume(c->in.size());
-        if ((c->discarded += n) > most_discarded) return;
+        if ((c->discarded += n) > max_discarded_bytes) return;
     } else if (n) {
         c->user->received(handle, c->mark);
     }
     read(handle);
 }
 
-void Connections::again(Handle handle) {
+void Connections::redeliver(Handle handle) {
     asio::post(io_, [this, handle] {
         Connection* const c = connections_.find(handle);
-        if (!c || c->finishing) return;
-        deadlines_.turn();
+        if (!c || c->closing) return;
+        deadlines_.update_now();
         c->user->received(handle, c->mark);
         read(handle);
     });
@@ -127,7 +129,7 @@
     c.out.make_room(all);
     for (const std::string_view part : parts)
         if (!part.empty()) c.out.append(part);
-    if (c.up && !c.writing) write(handle);
+    if (c.connected && !c.writing) write(handle);
 }
 
 void Connections::write(Handle handle) {
@@ -142,23 +144,23 @@
             c.socket.async_wait(tcp::socket::wait_write, [this, handle](const std::error_code& ended_by) {
                 Connection* const waiting = connections_.find(handle);
                 if (!waiting || ended_by) return;
-                deadlines_.turn();
+                deadlines_.update_now();
                 waiting->writing = false;
                 write(handle);
                 Connection* const left = connections_.find(handle);
-                if (left && left->out.empty() && !left->finishing) left->user->drained(handle, left->mark);
+                if (left && left->out.empty() && !left->closing) left->user->drained(handle, left->mark);
             });
             return;
         }
-        if (fault) return later_ended(handle);
+        if (fault) return post_ended(handle);
         c.out.consume(n);
-        if (c.finishing) close_after(handle, stalled);
+        if (c.closing) set_close_deadline(handle, stall_timeout);
     }
     c.out.trim();
-    if (c.finishing) end_sending(handle);
+    if (c.closing) end_sending(handle);
 }
 
-void Connections::later_ended(Handle handle) {
+void Connections::post_ended(Handle handle) {
     connections_.find(handle)->writing = true;  // nothing more is written
     asio::post(io_, [this, handle] { ended(handle); });
 }
@@ -166,16 +168,16 @@
 void Connections::ended(Handle handle) {
     Connection* const c = connections_.find(handle);
     if (!c) return;
-    deadlines_.turn();
-    if (!c->finishing) c->user->ended(handle, c->mark);
+    deadlines_.update_now();
+    if (!c->closing) c->user->ended(handle, c->mark);
     close(handle);
 }
 
 void Connections::close(Handle handle) {
     Connection* const c = connections_.find(handle);
     if (!c) return;
-    deadlines_.drop(c->deadline);
-    finishing_ -= c->finishing;
+    deadlines_.cancel(c->deadline);
+    closing_ -= c->closing;
     std::error_code ignored;
     c->socket.close(ignored);
     connections_.remove(handle);
@@ -189,26 +191,26 @@
     close(handle);
 }
 
-void Connections::finish(Handle handle) {
+void Connections::close_gracefully(Handle handle) {
     Connection& c = *connections_.find(handle);
-    c.finishing = true;
-    ++finishing_;
+    c.closing = true;
+    ++closing_;
     c.in.consume(c.in.size());
-    close_after(handle, stalled);
+    set_close_deadline(handle, stall_timeout);
     if (c.out.empty()) end_sending(handle);
     read(handle);
 }
 
-void Connections::close_after(Handle handle, Time from_now) {
+void Connections::set_close_deadline(Handle handle, Time from_now) {
     Connection& c = *connections_.find(handle);
-    deadlines_.drop(c.deadline);
+    deadlines_.cancel(c.deadline);
     c.deadline = deadlines_.after(from_now, [this, handle] { close(handle); });
 }
 
 void Connections::end_sending(Handle handle) {
     std::error_code ignored;
     connections_.find(handle)->socket.shutdown(tcp::socket::shutdown_send, ignored);
-    close_after(handle, linger);
+    set_close_deadline(handle, close_timeout);
 }
 
 }  // namespace dewweir::net
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -7,94 +7,97 @@
 namespace dewweir::net {
 namespace {
 
-constexpr Time least_pause = 250, most_pause = 10000;  // before the connection is opened again
-constexpr Time idle = 30000;                           // then a ping, well within the 10 s of the counter
-constexpr Time most_silent = 4;                        // limits of a call
-constexpr std::size_t most_line = 256;
+constexpr Time min_reconnect_delay = 250,
+               max_reconnect_delay = 10000;  // before the connection is opened again
+constexpr Time ping_after = 30000;           // then a ping, well within the 10 s of the counter
+constexpr Time silence_timeouts = 4;         // limits of a call
+constexpr std::size_t max_line_bytes = 256;
 
 }  // namespace
 
-Counter::Counter(const Part& part, Counts& counts) : Part(part), counts_(counts) {
-    if (!told_.counter) return;
-    address_ = *told_.counter;
+Counter::Counter(const NodeContext& context, CounterListener& listener)
+    : NodeContext(context), listener_(listener) {
+    if (!configuration_.counter) return;
+    address_ = *configuration_.counter;
     links_[mark_];
     open();
-    watch();
+    keep_alive();
 }
 
 void Counter::open() {
     Link& link = links_.at(mark_);
-    link.connection = connections_.open(address_, *this, mark_, told_.connect_within);
-    if (!link.connection) lost(mark_, "no connection left");
+    link.connection = connections_.open(address_, *this, mark_, configuration_.connect_timeout);
+    if (!link.connection) connection_lost(mark_, "no connection left");
 }
 
-void Counter::move_to(const tcp::endpoint& address) {
+void Counter::set_address(const tcp::endpoint& address) {
     if (links_.empty() || address == address_) return;
     address_ = address;
-    retire();
+    replace_connection();
 }
 
 // A new connection at once. Calls not yet written go with it; the others keep their answers and their order
 // on the old one, until the last is told.
-void Counter::retire() {
-    deadlines_.drop(reopening_);
-    pause_ = 0;
+void Counter::replace_connection() {
+    deadlines_.cancel(reconnect_timer_);
+    reconnect_delay_ = 0;
     Link& old = links_.at(mark_);
-    if (old.up && !old.calls.empty()) {
+    if (old.connected && !old.calls.empty()) {
         links_[++mark_];
     } else {
         if (old.connection) connections_.close(old.connection);
         old.connection = 0;
-        old.up = false;
+        old.connected = false;
     }
     open();
 }
 
-void Counter::opened(Handle, std::uint32_t mark, bool up) {
-    if (!up) return lost(mark, "no connection");
+void Counter::opened(Handle, std::uint32_t mark, bool connected) {
+    if (!connected) return connection_lost(mark, "no connection");
     Link& link = links_.at(mark);
-    link.up = true;
-    link.last_word = deadlines_.now();
+    link.connected = true;
+    link.last_reply_at = deadlines_.now();
     for (Call& call : link.calls) connections_.send(link.connection, {std::exchange(call.line, {})});
 }
 
 // What was written may have been added; what was not never will be.
-void Counter::lost(std::uint32_t mark, const char* why, AttemptOutcome written) {
-    log_.tell(Event::counter_lost, std::string("counter: ") + why, {{"why", why}});
+void Counter::connection_lost(std::uint32_t mark, const char* why, AttemptOutcome written_outcome) {
+    log_.record(Event::counter_lost, std::string("counter: ") + why, {{"why", why}});
     Link& link = links_.at(mark);
     if (link.connection) connections_.close(link.connection);
     link.connection = 0;
-    link.up = false;
-    link.first += link.calls.size();
+    link.connected = false;
+    link.first_number += link.calls.size();
     std::deque<Call> calls = std::exchange(link.calls, {});
     if (mark != mark_) {
         links_.erase(mark);
-    } else if (written == AttemptOutcome::broken && pause_ == 0) {
+    } else if (written_outcome == AttemptOutcome::broken && reconnect_delay_ == 0) {
         // It spoke well before, and what it says now is not slow: there is nothing to wait for.
-        pause_ = least_pause;
+        reconnect_delay_ = min_reconnect_delay;
         open();
     } else {
-        pause_ = std::clamp(2 * pause_, least_pause, most_pause);
-        reopening_ = deadlines_.after(pause_, [this] {
-            reopening_ = {};
+        reconnect_delay_ = std::clamp(2 * reconnect_delay_, min_reconnect_delay, max_reconnect_delay);
+        reconnect_timer_ = deadlines_.after(reconnect_delay_, [this] {
+            reconnect_timer_ = {};
             open();
         });
     }
-    for (Call& call : calls) tell(call, call.line.empty() ? written : AttemptOutcome::connect_failed);
+    for (Call& call : calls)
+        finish_call(call, call.line.empty() ? written_outcome : AttemptOutcome::connect_failed);
 }
 
 void Counter::ended(Handle connection, std::uint32_t mark) {
     // A line that has not left whole was never a call.
-    std::size_t unsent = connections_.unsent(connection);
+    std::size_t unsent = connections_.unsent_bytes(connection);
     std::deque<Call>& calls = links_.at(mark).calls;
     for (auto call = calls.rbegin(); call != calls.rend() && unsent; ++call) {
         call->line = "not sent";
         unsent -= std::min(unsent, call->size);
     }
-    lost(mark, "connection ended");
+    connection_lost(mark, "connection ended");
 }
 
-void Counter::count(std::uint64_t name, double amount, Time keep_for) {
+void Counter::add(std::uint64_t name, double amount, Time keep_for) {
     char text[64];
     const auto end = std::to_chars(text, text + sizeof text, amount, std::chars_format::fixed);
     std::string line = "incr " + std::to_string(name) + " ";
@@ -102,32 +105,33 @@
         .append(" ")
         .append(std::to_string(std::max<Time>(1, keep_for / 10)))
         .append("\r\n");
-    put(std::move(line), name, false);
+    send_call(std::move(line), name, false);
 }
 
-void Counter::put(std::string line, std::uint64_t name, bool ping) {
+void Counter::send_call(std::string line, std::uint64_t name, bool ping) {
     Link& link = links_.at(mark_);
-    const std::uint64_t number = link.first + link.calls.size();
+    const std::uint64_t number = link.first_number + link.calls.size();
     const std::size_t size = line.size();
     link.calls.push_back({name, std::move(line), size, deadlines_.now(), ping, false, {}});
     Call& call = link.calls.back();
     // While the connection is lost, the end comes in the next turn.
-    const Time limit = link.connection ? told_.count_limit : 0;
-    call.deadline = deadlines_.after(limit, [this, mark = mark_, number] { late(mark, number); });
-    if (link.up) connections_.send(link.connection, {std::exchange(call.line, {})});
+    const Time limit = link.connection ? configuration_.counter_timeout : 0;
+    call.deadline = deadlines_.after(limit, [this, mark = mark_, number] { call_timed_out(mark, number); });
+    if (link.connected) connections_.send(link.connection, {std::exchange(call.line, {})});
 }
 
-void Counter::late(std::uint32_t mark, std::uint64_t number) {
+void Counter::call_timed_out(std::uint32_t mark, std::uint64_t number) {
     Link& link = links_.at(mark);
-    if (number < link.first || number - link.first >= link.calls.size()) return;
+    if (number < link.first_number || number - link.first_number >= link.calls.size()) return;
     // What was written waits for its answer, so that the order holds; on a connection that has been left,
     // nothing more is asked.
-    if (Call& call = link.calls[number - link.first]; call.line.empty()) {
+    if (Call& call = link.calls[number - link.first_number]; call.line.empty()) {
         // One that says nothing to anybody has gone silent, as a slow counter never does for long.
-        const Time silent = deadlines_.now() - std::max(link.last_word, link.calls.front().made);
-        if (mark == mark_ && silent >= most_silent * told_.count_limit) return lost(mark, "silent");
-        const bool last = mark != mark_ && number - link.first + 1 == link.calls.size();
-        tell(call, AttemptOutcome::timeout);
+        const Time silence = deadlines_.now() - std::max(link.last_reply_at, link.calls.front().started_at);
+        if (mark == mark_ && silence >= silence_timeouts * configuration_.counter_timeout)
+            return connection_lost(mark, "silent");
+        const bool last = mark != mark_ && number - link.first_number + 1 == link.calls.size();
+        finish_call(call, AttemptOutcome::timeout);
         if (last) connections_.close(link.connection), links_.erase(mark);
         return;
     }
@@ -135,22 +139,23 @@
     // limit.
     Call call = std::move(link.calls.front());
     link.calls.pop_front();
-    ++link.first;
-    tell(call, AttemptOutcome::connect_failed);
+    ++link.first_number;
+    finish_call(call, AttemptOutcome::connect_failed);
 }
 
 // Keeps an idle connection from being closed; a ping that gets no answer shows one that has gone silent.
-void Counter::watch() {
-    deadlines_.after(idle / 10, [this] { watch(); });
+void Counter::keep_alive() {
+    deadlines_.after(ping_after / 10, [this] { keep_alive(); });
     const Link& link = links_.at(mark_);
-    if (!link.up) return;
-    if (link.calls.empty() && deadlines_.now() - link.last_word > idle) put("ping\r\n", 0, true);
+    if (!link.connected) return;
+    if (link.calls.empty() && deadlines_.now() - link.last_reply_at > ping_after)
+        send_call("ping\r\n", 0, true);
 }
 
-void Counter::tell(Call& call, AttemptOutcome outcome, double total) {
-    deadlines_.drop(call.deadline);
-    if (std::exchange(call.told, true) || call.ping) return;
-    counts_.counted(call.name, outcome, total, deadlines_.now() - call.made);
+void Counter::finish_call(Call& call, AttemptOutcome outcome, double total) {
+    deadlines_.cancel(call.deadline);
+    if (std::exchange(call.finished, true) || call.ping) return;
+    listener_.counter_replied(call.name, outcome, total, deadlines_.now() - call.started_at);
 }
 
 void Counter::received(Handle connection, std::uint32_t mark) {
@@ -160,24 +165,24 @@
         Ring& in = connections_.in(connection);
         if (in.empty()) return;
         std::string line;
-        for (const std::string_view part : in.filled()) {
-            const std::size_t end = part.find('\n');
-            line.append(part.substr(0, end));
-            if (end != part.npos) {
+        for (const std::string_view context : in.filled()) {
+            const std::size_t end = context.find('\n');
+            line.append(context.substr(0, end));
+            if (end != context.npos) {
                 line += '\n';
                 break;
             }
         }
-        if (line.back() != '\n' && line.size() < most_line) return;
+        if (line.back() != '\n' && line.size() < max_line_bytes) return;
         in.consume(line.size());
         while (!line.empty() && (line.back() == '\n' || line.back() == '\r')) line.pop_back();
-        answered(mark, line);
+        handle_reply(mark, line);
     }
 }
 
-void Counter::answered(std::uint32_t mark, std::string_view line) {
+void Counter::handle_reply(std::uint32_t mark, std::string_view line) {
     Link& link = links_.at(mark);
-    if (link.calls.empty()) return lost(mark, "an answer to no call");
+    if (link.calls.empty()) return connection_lost(mark, "an answer to no call");
     double total = 0;
     AttemptOutcome outcome = AttemptOutcome::broken;
     if (line.substr(0, 3) == "ok ") {
@@ -192,14 +197,14 @@
         outcome = AttemptOutcome::ok;
     }
     // Nothing more that comes on this connection can be trusted.
-    if (outcome == AttemptOutcome::broken) return lost(mark, "an unreadable answer", outcome);
-    link.last_word = deadlines_.now();
-    pause_ = 0;
+    if (outcome == AttemptOutcome::broken) return connection_lost(mark, "an unreadable answer", outcome);
+    link.last_reply_at = deadlines_.now();
+    reconnect_delay_ = 0;
     Call call = std::move(link.calls.front());
     link.calls.pop_front();
-    ++link.first;
+    ++link.first_number;
     if (mark != mark_ && link.calls.empty()) connections_.close(link.connection), links_.erase(mark);
-    tell(call, outcome, total);
+    finish_call(call, outcome, total);
 }
 
 }  // namespace dewweir::net
--- a/src/net/counter.h
+++ b/src/net/counter.h
@@ -11,22 +11,22 @@
 
 namespace dewweir::net {
 
-class Counts {
+class CounterListener {
   public:
-    virtual ~Counts() = default;
-    virtual void counted(std::uint64_t name, AttemptOutcome outcome, double total, Time took) = 0;
+    virtual ~CounterListener() = default;
+    virtual void counter_replied(std::uint64_t name, AttemptOutcome outcome, double total, Time took) = 0;
 };
 
-class Counter : public User, Part {
+class Counter : public ConnectionHandler, NodeContext {
   public:
-    Counter(const Part& part, Counts& counts);
+    Counter(const NodeContext& context, CounterListener& listener);
 
-    void count(std::uint64_t name, double amount, Time keep_for);
+    void add(std::uint64_t name, double amount, Time keep_for);
     // The counter is elsewhere now: calls go there at once, those out on the old connection keep their
     // answers.
-    void move_to(const tcp::endpoint& address);
+    void set_address(const tcp::endpoint& address);
 
-    void opened(Handle, std::uint32_t mark, bool up) override;
+    void opened(Handle, std::uint32_t mark, bool connected) override;
     void received(Handle, std::uint32_t mark) override;
     void ended(Handle, std::uint32_t mark) override;
 
@@ -35,33 +35,34 @@
         std::uint64_t name;
         std::string line;  // empty once it is written
         std::size_t size;  // of the line
-        Time made;
-        bool ping, told;
+        Time started_at;
+        bool ping, finished;
         Deadlines::Key deadline;
     };
-    struct Link {  // one connection, and the calls made on it
+    struct Link {  // one connection, and the calls started_at on it
         Handle connection = 0;
-        bool up = false;
-        Time last_word = 0;
+        bool connected = false;
+        Time last_reply_at = 0;
         std::deque<Call> calls{};
-        std::uint64_t first = 0;  // number of the call at the front
+        std::uint64_t first_number = 0;  // number of the call at the front
     };
 
     void open();
-    void retire();
-    void lost(std::uint32_t mark, const char* why, AttemptOutcome written = AttemptOutcome::timeout);
-    void put(std::string line, std::uint64_t name, bool ping);
-    void late(std::uint32_t mark, std::uint64_t number);
-    void watch();
-    void tell(Call& call, AttemptOutcome outcome, double total = 0);
-    void answered(std::uint32_t mark, std::string_view line);
+    void replace_connection();
+    void connection_lost(std::uint32_t mark, const char* why,
+                         AttemptOutcome written_outcome = AttemptOutcome::timeout);
+    void send_call(std::string line, std::uint64_t name, bool ping);
+    void call_timed_out(std::uint32_t mark, std::uint64_t number);
+    void keep_alive();
+    void finish_call(Call& call, AttemptOutcome outcome, double total = 0);
+    void handle_reply(std::uint32_t mark, std::string_view line);
 
-    Counts& counts_;
+    CounterListener& listener_;
     tcp::endpoint address_;
     std::map<std::uint32_t, Link> links_;  // by mark; only the last takes calls, the others wait for answers
     std::uint32_t mark_ = 0;               // of the last
-    Time pause_ = 0;
-    Deadlines::Key reopening_{};
+    Time reconnect_delay_ = 0;
+    Deadlines::Key reconnect_timer_{};
 };
 
 }  // namespace dewweir::net
--- a/src/net/counts_event.h
+++ b/src/net/counts_event.h
@@ -16,32 +16,33 @@
 constexpr int time_buckets = 88;
 int time_bucket(Time took);
 
-class CountsEvent : public Tallies {
+class CountsEvent : public ActivityObserver {
   public:
     // `goals`: of the route classes, by number.
-    CountsEvent(Time every, std::vector<Time> goals) : every_(every), goals_(std::move(goals)) {}
+    CountsEvent(Time interval, std::vector<Time> goals)
+        : interval_(interval), latency_goals_(std::move(goals)) {}
 
-    void request_received(double units) override { ++tries_, asked_ += units; }
+    void request_received(double units) override { ++requests_, units_requested_ += units; }
     void attempt_started(bool first, double units) override {
-        ++attempts_, sent_on_ += first, in_ += first ? units : 0;
+        ++attempts_, first_attempts_ += first, units_sent_ += first ? units : 0;
     }
-    void counted(double units) override { ++calls_, counted_ += units; }
+    void counter_called(double units) override { ++counter_calls_, units_counted_ += units; }
     void served(int route_class, Time took) override;
     void refused() override { ++refused_; }
     void failed() override { ++failed_; }
-    void client_gone() override { ++gone_; }
+    void client_disconnected() override { ++disconnected_; }
     void report_decisions(const DecisionCounts& often) override;
-    void tell(Log& log, Time now) override;
-    Time every() const override { return every_; }
+    void report(Log& log, Time now) override;
+    Time interval() const override { return interval_; }
 
   private:
-    Time every_;
-    std::vector<Time> goals_;
-    std::int64_t tries_ = 0, in_goal_ = 0, late_ = 0, refused_ = 0, failed_ = 0, gone_ = 0, sent_on_ = 0,
-                 attempts_ = 0, calls_ = 0;
-    double asked_ = 0, in_ = 0, counted_ = 0;  // units
-    DecisionCounts decided_{};
-    std::array<std::int64_t, time_buckets> times_{};
+    Time interval_;
+    std::vector<Time> latency_goals_;
+    std::int64_t requests_ = 0, within_goal_ = 0, over_goal_ = 0, refused_ = 0, failed_ = 0,
+                 disconnected_ = 0, first_attempts_ = 0, attempts_ = 0, counter_calls_ = 0;
+    double units_requested_ = 0, units_sent_ = 0, units_counted_ = 0;  // units
+    DecisionCounts decisions_{};
+    std::array<std::int64_t, time_buckets> latencies_{};
 };
 
 }  // namespace dewweir::net
--- a/src/net/deadlines.cpp
+++ b/src/net/deadlines.cpp
@@ -13,18 +13,18 @@
           std::chrono::duration_cast<Tenths>(std::chrono::system_clock::now().time_since_epoch()).count()),
       now_(start_time_) {}
 
-Time Deadlines::read() const {
+Time Deadlines::read_clock() const {
     return start_time_ +
            std::chrono::duration_cast<Tenths>(std::chrono::steady_clock::now() - start_).count();
 }
 
 Deadlines::Key Deadlines::after(Time from_now, std::function<void()> what) {
-    const Key key{now_ + std::max<Time>(0, from_now), ++last_};
+    const Key key{now_ + std::max<Time>(0, from_now), ++last_id_};
     deadlines_.emplace(key, std::move(what));
     return key;
 }
 
-void Deadlines::drop(Key& key) {
+void Deadlines::cancel(Key& key) {
     deadlines_.erase(key);
     key = {};
 }
@@ -34,12 +34,12 @@
     return start_ + Tenths(at - start_time_);
 }
 
-void Deadlines::run_passed() {
-    turn();
+void Deadlines::run_due() {
+    update_now();
     // What is set in here for at once waits for the next turn, so that no deadline can hold the loop.
-    const std::uint64_t set_before = last_;
+    const std::uint64_t last_before = last_id_;
     for (auto at = deadlines_.begin(); at != deadlines_.end() && at->first.first <= now_;) {
-        if (at->first.second > set_before) {
+        if (at->first.second > last_before) {
             ++at;
             continue;
         }
--- a/src/net/deadlines.h
+++ b/src/net/deadlines.h
@@ -22,23 +22,23 @@
     // Tenths of a millisecond since 1970, read once a turn: the wall clock at the start, the steady one
     // since.
     Time now() const { return now_; }
-    void turn() { now_ = read(); }
+    void update_now() { now_ = read_clock(); }
 
     Key after(Time from_now, std::function<void()> what);
     // Takes a deadline out, whether or not it has passed, and forgets its key.
-    void drop(Key& key);
+    void cancel(Key& key);
 
     // Calls what has come due.
-    void run_passed();
+    void run_due();
     // When the loop must be woken for the next one; an hour off where there is none.
     std::chrono::steady_clock::time_point next() const;
 
   private:
-    Time read() const;
+    Time read_clock() const;
 
     std::chrono::steady_clock::time_point start_;
     Time slack_, start_time_, now_;
-    std::uint64_t last_ = 0;
+    std::uint64_t last_id_ = 0;
     std::map<Key, std::function<void()>> deadlines_;
 };
 
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -10,40 +10,40 @@
 
 namespace dewweir::net {
 
-class ListNews {
+class HostListListener {
   public:
-    virtual ~ListNews() = default;
-    virtual void list_told(const Listing& listing) = 0;
-    virtual void list_failed() = 0;
+    virtual ~HostListListener() = default;
+    virtual void host_list_received(const HostList& listing) = 0;
+    virtual void watch_failed() = 0;
 };
 
-class Discovery : public User, Part {
+class Discovery : public ConnectionHandler, NodeContext {
   public:
-    Discovery(const Part& part, ListNews& news);
+    Discovery(const NodeContext& context, HostListListener& listener);
 
-    void follow();  // nothing where the watch is up already
+    void watch();  // nothing where the watch is up already
     // Another address now: watched at once, and its first word is taken whatever its revision.
-    void move_to(const tcp::endpoint& address);
+    void set_address(const tcp::endpoint& address);
 
-    void opened(Handle, std::uint32_t, bool up) override;
+    void opened(Handle, std::uint32_t, bool connected) override;
     void received(Handle, std::uint32_t) override;
     void ended(Handle, std::uint32_t) override;
 
   private:
-    void lost(const std::string& why);
-    void older(const Listing& listing);
-    void take_anew();
-    void ask_anew();
-    void heard();
+    void watch_lost(const std::string& why);
+    void handle_older_list(const HostList& listing);
+    void resync_if_behind();
+    void resync();
+    void restart_silence_timer();
 
-    ListNews& news_;
+    HostListListener& listener_;
     tcp::endpoint address_;
     Handle connection_ = 0;
     std::unique_ptr<HttpReader> reader_;
     std::uint64_t revision_;
-    Deadlines::Key silence_{};
-    Deadlines::Key anew_{};  // since a whole list was older than ours, and none has been as new
-    bool behind_ = false;    // the last word was older
+    Deadlines::Key silence_timer_{};
+    Deadlines::Key resync_timer_{};  // since a whole list was older than ours, and none has been as new
+    bool behind_ = false;            // the last word was older
 };
 
 }  // namespace dewweir::net
--- a/src/net/events.cpp
+++ b/src/net/events.cpp
@@ -31,7 +31,8 @@
     {"discovery.lost", Level::warning, "why: text", "the watch was given up; a new one is begun"},
     {"decided", Level::info, "", "how the submissions since the last such line were decided"},
     {"counts", Level::info,
-     "end_ms, every_ms, tries, in_goal, late, bounced, over_quota, long_line, written_off, gone, sent_on, executions, "
+     "end_ms, every_ms, tries, in_goal, late, bounced, over_quota, long_line, written_off, gone, sent_on, "
+     "executions, "
      "calls, "
      "units_asked, units_in, units_counted, memory_kb: numbers; times: list",
      "what was done in the stretch that ended then; units in thousandths, times as bucket and count in turn"},
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -9,14 +9,15 @@
 namespace {
 
 // One that comes back under its id within a minute is the host it was; later it is a new one.
-constexpr Time remembered = 600000;
-constexpr int most_interim = 8;
+constexpr Time removed_host_retention = 600000;
+constexpr int max_interim_responses = 8;
 
 }  // namespace
 
-Hosts::Hosts(const Part& part, Outcomes& outcomes) : Part(part), outcomes_(outcomes) {}
+Hosts::Hosts(const NodeContext& context, AttemptListener& listener)
+    : NodeContext(context), listener_(listener) {}
 
-std::uint32_t Hosts::listed(const Entry& entry) {
+std::uint32_t Hosts::update(const HostEntry& entry) {
     const auto known = numbers_.find(entry.id);
     if (known == numbers_.end() && entry.state == HostState::removed) return 0;
     const std::uint32_t number = known == numbers_.end() ? ++last_number_ : known->second;
@@ -24,17 +25,17 @@
     if (known == numbers_.end()) {
         host.id = entry.id;
         numbers_[entry.id] = number;
-        log_.tell(Event::host_named, "host " + std::to_string(number) + " is " + entry.id,
-                  {{"host", number}, {"id", entry.id}});
+        log_.record(Event::host_named, "host " + std::to_string(number) + " is " + entry.id,
+                    {{"host", number}, {"id", entry.id}});
     }
     // At another address, or started again: what stands idle leads nowhere.
     if (entry.state != HostState::removed &&
         (host.address != entry.address || host.up_since != entry.up_since)) {
         host.address = entry.address;
         host.up_since = entry.up_since;
-        release_idle(host);
+        close_idle_upstreams(host);
     }
-    now_stands(number, host, entry.state);
+    set_state(number, host, entry.state);
     return number;
 }
 
@@ -48,57 +49,59 @@
     return at == numbers_.end() ? 0 : at->second;
 }
 
-void Hosts::keep_only(const std::vector<Entry>& entries) {
-    std::unordered_set<std::uint32_t> named;
-    for (const Entry& entry : entries)
-        if (const auto known = numbers_.find(entry.id); known != numbers_.end()) named.insert(known->second);
+void Hosts::remove_unlisted(const std::vector<HostEntry>& entries) {
+    std::unordered_set<std::uint32_t> listed;
+    for (const HostEntry& entry : entries)
+        if (const auto known = numbers_.find(entry.id); known != numbers_.end()) listed.insert(known->second);
     for (auto& [number, host] : hosts_)
-        if (!named.contains(number)) now_stands(number, host, HostState::removed);
+        if (!listed.contains(number)) set_state(number, host, HostState::removed);
 }
 
-void Hosts::now_stands(std::uint32_t number, Host& host, HostState state) {
+void Hosts::set_state(std::uint32_t number, Host& host, HostState state) {
     const HostState before = std::exchange(host.state, state);
-    if (before == HostState::ready && state != HostState::ready) not_ready(number);
-    if (before != HostState::removed && state == HostState::removed) forget_later(number, host);
-    if (state != HostState::removed) deadlines_.drop(host.leaving);
+    if (before == HostState::ready && state != HostState::ready) stop_sending(number);
+    if (before != HostState::removed && state == HostState::removed) schedule_removal(number, host);
+    if (state != HostState::removed) deadlines_.cancel(host.removal);
 }
 
-void Hosts::forget_later(std::uint32_t number, Host& host) {
-    host.leaving = deadlines_.after(remembered, [this, number] {
-        Host& gone = hosts_.at(number);
-        if (gone.upstreams) return forget_later(number, gone);  // an attempt is still out there
-        numbers_.erase(gone.id);
+void Hosts::schedule_removal(std::uint32_t number, Host& host) {
+    host.removal = deadlines_.after(removed_host_retention, [this, number] {
+        Host& removed = hosts_.at(number);
+        if (removed.upstreams) return schedule_removal(number, removed);  // an attempt is still out there
+        numbers_.erase(removed.id);
         hosts_.erase(number);
     });
 }
 
-void Hosts::release_idle(Host& host) {
+void Hosts::close_idle_upstreams(Host& host) {
     for (const Handle upstream : std::vector<Handle>(host.idle))
-        give_back(upstream, *upstreams_.find(upstream));
+        close_upstream(upstream, *upstreams_.find(upstream));
 }
 
 // Nothing more is written there: idle connections go back, and what waits for its connection is not sent.
-void Hosts::not_ready(std::uint32_t host) {
-    release_idle(hosts_.at(host));
+void Hosts::stop_sending(std::uint32_t host) {
+    close_idle_upstreams(hosts_.at(host));
     std::vector<Handle> waiting;
     upstreams_.each([&](Handle mark, UpstreamConnection& upstream) {
-        if (upstream.host == host && !upstream.up) waiting.push_back(mark);
+        if (upstream.host == host && !upstream.connected) waiting.push_back(mark);
     });
     for (const Handle mark : waiting) {
         const UpstreamConnection& upstream = *upstreams_.find(mark);
-        later_over(upstream.request, host, AttemptOutcome::not_sent, deadlines_.now() - upstream.sent);
-        give_back(mark, *upstreams_.find(mark));
+        post_attempt_ended(upstream.request, host, AttemptOutcome::not_sent,
+                           deadlines_.now() - upstream.started_at);
+        close_upstream(mark, *upstreams_.find(mark));
     }
 }
 
 Handle Hosts::open_upstream(std::uint32_t host) {
     // A little stays for the counter and for discovery.
-    if (!connections_.room(0.1)) drop_oldest_idle();
-    if (!connections_.room(0.1)) return 0;
+    if (!connections_.has_room(0.1)) close_longest_idle();
+    if (!connections_.has_room(0.1)) return 0;
     const Handle mark = upstreams_.add(host);
     if (!mark) return 0;
     UpstreamConnection& upstream = *upstreams_.find(mark);
-    upstream.connection = connections_.open(hosts_.at(host).address, *this, mark, told_.connect_within);
+    upstream.connection =
+        connections_.open(hosts_.at(host).address, *this, mark, configuration_.connect_timeout);
     if (upstream.connection) return ++hosts_.at(host).upstreams, mark;
     upstreams_.remove(mark);
     return 0;
@@ -109,15 +112,15 @@
     while (!host.idle.empty()) {
         const Handle mark = host.idle.back();
         UpstreamConnection& upstream = *upstreams_.find(mark);
-        take_from_idle(mark);
-        if (connections_.quiet(upstream.connection)) return mark;
-        give_back(mark, upstream);
+        remove_from_idle(mark);
+        if (connections_.is_quiet(upstream.connection)) return mark;
+        close_upstream(mark, upstream);
     }
     return 0;
 }
 
 // Of all hosts, the connection that has stood idle for longest.
-void Hosts::drop_oldest_idle() {
+void Hosts::close_longest_idle() {
     Handle oldest = 0;
     Deadlines::Key first{};
     for (const auto& [number, host] : hosts_) {
@@ -125,7 +128,7 @@
         const UpstreamConnection& upstream = *upstreams_.find(host.idle.front());
         if (!oldest || upstream.deadline < first) oldest = host.idle.front(), first = upstream.deadline;
     }
-    if (oldest) give_back(oldest, *upstreams_.find(oldest));
+    if (oldest) close_upstream(oldest, *upstreams_.find(oldest));
 }
 
 Handle Hosts::start_attempt(Handle request, std::uint32_t host, std::string_view head, std::string_view body,
@@ -139,135 +142,144 @@
     if (!mark) {
         // Drained a moment ago, or all our connections are out: no fault of the host's.
         const std::string id = to != hosts_.end() ? to->second.id : std::to_string(host);
-        log_.tell(Event::host_no_connection, "hosts: no connection for an execution on " + id, {{"id", id}});
-        later_over(request, host, AttemptOutcome::not_sent, 0);
+        log_.record(Event::host_no_connection, "hosts: no connection for an execution on " + id,
+                    {{"id", id}});
+        post_attempt_ended(request, host, AttemptOutcome::not_sent, 0);
         return 0;
     }
     UpstreamConnection& upstream = *upstreams_.find(mark);
     upstream.request = request;
-    upstream.sent = deadlines_.now();
+    upstream.started_at = deadlines_.now();
     upstream.deadline = deadlines_.after(give_up_after, [this, mark] {
         UpstreamConnection* const late = upstreams_.find(mark);
-        if (late) over(mark, *late, AttemptOutcome::timeout);
+        if (late) finish_attempt(mark, *late, AttemptOutcome::timeout);
     });
     char limit[48];
     // Seconds with four decimals: whole tenths of a millisecond.
     const auto end = std::to_chars(limit, limit + sizeof limit, static_cast<double>(give_up_after) / 10000,
                                    std::chars_format::fixed, 4);
     const std::string_view seconds(limit, static_cast<std::size_t>(end.ptr - limit));
-    if (upstream.up) {
+    if (upstream.connected) {
         connections_.send(upstream.connection, {head, "X-Deadline: ", seconds, "\r\n\r\n", body});
     } else {
-        upstream.waiting.reserve(head.size() + body.size() + 48);
-        upstream.waiting.append(head).append("X-Deadline: ").append(seconds).append("\r\n\r\n").append(body);
+        upstream.unsent_request.reserve(head.size() + body.size() + 48);
+        upstream.unsent_request.append(head)
+            .append("X-Deadline: ")
+            .append(seconds)
+            .append("\r\n\r\n")
+            .append(body);
     }
     return mark;
 }
 
-void Hosts::call_off(Handle attempt) {
+void Hosts::cancel(Handle attempt) {
     UpstreamConnection* const upstream = upstreams_.find(attempt);
     if (!upstream || !upstream->request) return;
-    later_over(upstream->request, upstream->host, AttemptOutcome::cancelled,
-               deadlines_.now() - upstream->sent);
-    give_back(attempt, *upstream);
+    post_attempt_ended(upstream->request, upstream->host, AttemptOutcome::cancelled,
+                       deadlines_.now() - upstream->started_at);
+    close_upstream(attempt, *upstream);
 }
 
-void Hosts::opened(Handle, std::uint32_t mark, bool up) {
+void Hosts::opened(Handle, std::uint32_t mark, bool connected) {
     UpstreamConnection* const upstream = upstreams_.find(mark);
     if (!upstream) return;
-    if (!up) {
+    if (!connected) {
         upstream->connection = 0;
-        return over(mark, *upstream, AttemptOutcome::connect_failed);
+        return finish_attempt(mark, *upstream, AttemptOutcome::connect_failed);
     }
-    upstream->up = true;
-    connections_.send(upstream->connection, {upstream->waiting});
-    upstream->waiting = {};
+    upstream->connected = true;
+    connections_.send(upstream->connection, {upstream->unsent_request});
+    upstream->unsent_request = {};
 }
 
 void Hosts::received(Handle connection, std::uint32_t mark) {
     UpstreamConnection* const upstream = upstreams_.find(mark);
     if (!upstream) return;
-    if (!upstream->request) return give_back(mark, *upstream);  // it speaks unasked
+    if (!upstream->request) return close_upstream(mark, *upstream);  // it sends unasked
     HttpReader& reader = upstream->reader;
     HttpReader::State state = reader.read(connections_.in(connection));
-    while (state == HttpReader::State::whole && reader.status() < 200) {  // an interim answer
-        if (++upstream->interim > most_interim) return over(mark, *upstream, AttemptOutcome::broken);
+    while (state == HttpReader::State::complete && reader.status() < 200) {  // an interim response
+        if (++upstream->interim_responses > max_interim_responses)
+            return finish_attempt(mark, *upstream, AttemptOutcome::broken);
         reader.next();
         state = reader.read(connections_.in(connection));
     }
     if (state == HttpReader::State::more) return;
-    if (state == HttpReader::State::bad) return over(mark, *upstream, AttemptOutcome::broken);
-    const bool full = (reader.status() == 503 || reader.status() == 504) && reader.field("X-Not-Run") == "1";
+    if (state == HttpReader::State::bad) return finish_attempt(mark, *upstream, AttemptOutcome::broken);
+    const bool refused =
+        (reader.status() == 503 || reader.status() == 504) && reader.field("X-Not-Run") == "1";
     const AttemptOutcome outcome = reader.status() == 200 ? AttemptOutcome::ok
-                                   : full                 ? AttemptOutcome::overloaded
+                                   : refused              ? AttemptOutcome::overloaded
                                                           : AttemptOutcome::error;
     // Before its last byte was written the host cannot have begun it: whatever this is, it answers
     // nothing.
-    if (outcome != AttemptOutcome::overloaded && connections_.unsent(connection))
-        return over(mark, *upstream, AttemptOutcome::connect_failed);
-    Answer answer;
+    if (outcome != AttemptOutcome::overloaded && connections_.unsent_bytes(connection))
+        return finish_attempt(mark, *upstream, AttemptOutcome::connect_failed);
+    HostResponse answer;
     if (outcome == AttemptOutcome::ok) {
-        reader.pass_on(answer.fields, {"X-Load"});
+        reader.append_forwarded_fields(answer.fields, {"X-Load"});
         answer.body = std::move(reader.body());
     }
-    over(mark, *upstream, outcome, answer);
+    finish_attempt(mark, *upstream, outcome, answer);
 }
 
 void Hosts::ended(Handle connection, std::uint32_t mark) {
     UpstreamConnection* const upstream = upstreams_.find(mark);
     if (!upstream) return;
-    if (!upstream->request) return give_back(mark, *upstream);
+    if (!upstream->request) return close_upstream(mark, *upstream);
     // Before its last byte was written the host cannot have begun it.
-    over(mark, *upstream,
-         connections_.unsent(connection) ? AttemptOutcome::connect_failed : AttemptOutcome::broken);
+    finish_attempt(
+        mark, *upstream,
+        connections_.unsent_bytes(connection) ? AttemptOutcome::connect_failed : AttemptOutcome::broken);
 }
 
 // Ends what is out on an upstream connection. The connection is kept if its answer came whole and the
 // connection is fit for more; it is so before the end is told, since the next attempt is often asked for in
 // that moment, and there.
-void Hosts::over(Handle mark, UpstreamConnection& upstream, AttemptOutcome outcome, const Answer& answer) {
+void Hosts::finish_attempt(Handle mark, UpstreamConnection& upstream, AttemptOutcome outcome,
+                           const HostResponse& answer) {
     const Handle request = std::exchange(upstream.request, 0);
     const std::uint32_t host = upstream.host;
-    const Time took = deadlines_.now() - upstream.sent;
-    deadlines_.drop(upstream.deadline);
+    const Time elapsed = deadlines_.now() - upstream.started_at;
+    deadlines_.cancel(upstream.deadline);
     // Bytes after the answer, or an answer before all was sent, leave the connection unfit for more.
-    const bool fit = outcome != AttemptOutcome::broken && upstream.reader.whole() &&
-                     upstream.reader.keep_alive() && connections_.in(upstream.connection).empty() &&
-                     connections_.unsent(upstream.connection) == 0 &&
-                     hosts_.at(host).state == HostState::ready;
+    const bool reusable = outcome != AttemptOutcome::broken && upstream.reader.complete() &&
+                          upstream.reader.keep_alive() && connections_.in(upstream.connection).empty() &&
+                          connections_.unsent_bytes(upstream.connection) == 0 &&
+                          hosts_.at(host).state == HostState::ready;
     upstream.reader.next();
-    upstream.interim = 0;
-    if (fit) rest(mark, upstream);
-    else give_back(mark, upstream);
-    outcomes_.attempt_over(request, host, outcome, took, answer);
+    upstream.interim_responses = 0;
+    if (reusable) make_idle(mark, upstream);
+    else close_upstream(mark, upstream);
+    listener_.attempt_ended(request, host, outcome, elapsed, answer);
 }
 
-void Hosts::rest(Handle mark, UpstreamConnection& upstream) {
+void Hosts::make_idle(Handle mark, UpstreamConnection& upstream) {
     hosts_.at(upstream.host).idle.push_back(mark);
     // Well before the host's own time, so that nothing is written to a connection that it is closing.
-    upstream.deadline = deadlines_.after(told_.idle_close * 3 / 4, [this, mark] {
+    upstream.deadline = deadlines_.after(configuration_.upstream_idle_close * 3 / 4, [this, mark] {
         UpstreamConnection* const old = upstreams_.find(mark);
-        if (old && !old->request) give_back(mark, *old);
+        if (old && !old->request) close_upstream(mark, *old);
     });
 }
 
-void Hosts::take_from_idle(Handle mark) {
+void Hosts::remove_from_idle(Handle mark) {
     UpstreamConnection& upstream = *upstreams_.find(mark);
     std::erase(hosts_.at(upstream.host).idle, mark);
-    deadlines_.drop(upstream.deadline);
+    deadlines_.cancel(upstream.deadline);
 }
 
-void Hosts::give_back(Handle mark, UpstreamConnection& upstream) {
-    take_from_idle(mark);
+void Hosts::close_upstream(Handle mark, UpstreamConnection& upstream) {
+    remove_from_idle(mark);
     --hosts_.at(upstream.host).upstreams;
     connections_.close(upstream.connection);
     upstreams_.remove(mark);
 }
 
-void Hosts::later_over(Handle request, std::uint32_t host, AttemptOutcome outcome, Time took) {
-    asio::post(io_, [this, request, host, outcome, took] {
-        deadlines_.turn();
-        outcomes_.attempt_over(request, host, outcome, took, {});
+void Hosts::post_attempt_ended(Handle request, std::uint32_t host, AttemptOutcome outcome, Time elapsed) {
+    asio::post(io_, [this, request, host, outcome, elapsed] {
+        deadlines_.update_now();
+        listener_.attempt_ended(request, host, outcome, elapsed, {});
     });
 }
 
--- a/src/net/hosts.h
+++ b/src/net/hosts.h
@@ -13,26 +13,26 @@
 
 namespace dewweir::net {
 
-struct Answer {  // what a host has served: the fields that pass through, and the body
+struct HostResponse {  // what a host has served: the fields that pass through, and the body
     std::string fields, body;
 };
 
-class Outcomes {
+class AttemptListener {
   public:
-    virtual ~Outcomes() = default;
-    virtual void attempt_over(Handle request, std::uint32_t host, AttemptOutcome outcome, Time took,
-                              const Answer& answer) = 0;
+    virtual ~AttemptListener() = default;
+    virtual void attempt_ended(Handle request, std::uint32_t host, AttemptOutcome outcome, Time elapsed,
+                               const HostResponse& answer) = 0;
 };
 
-class Hosts : public User, Part {
+class Hosts : public ConnectionHandler, NodeContext {
   public:
-    Hosts(const Part& part, Outcomes& outcomes);
+    Hosts(const NodeContext& context, AttemptListener& listener);
 
     // The host's number, which no other host gets while the program runs; 0 for one that was never here and
-    // is gone.
-    std::uint32_t listed(const Entry& entry);
-    // A whole list names those that stay: the others are taken as gone.
-    void keep_only(const std::vector<Entry>& entries);
+    // is removed.
+    std::uint32_t update(const HostEntry& entry);
+    // A whole list names those that stay: the others are taken as removed.
+    void remove_unlisted(const std::vector<HostEntry>& entries);
     // By number its id in the list, empty for none; by id its number, 0 for none.
     std::string id_of(std::uint32_t host) const;
     std::uint32_t number_of(const std::string& id) const;
@@ -40,9 +40,9 @@
     // Gives what `call_off` takes; 0 when nothing can be sent (its end is told all the same).
     Handle start_attempt(Handle request, std::uint32_t host, std::string_view head, std::string_view body,
                          Time give_up_after);
-    void call_off(Handle attempt);
+    void cancel(Handle attempt);
 
-    void opened(Handle, std::uint32_t mark, bool up) override;
+    void opened(Handle, std::uint32_t mark, bool connected) override;
     void received(Handle, std::uint32_t mark) override;
     void ended(Handle, std::uint32_t mark) override;
 
@@ -53,17 +53,17 @@
         HostState state = HostState::removed;
         Time up_since = 0;
         int upstreams = 0;           // all of them, idle or not
-        Deadlines::Key leaving{};    // then it is forgotten
+        Deadlines::Key removal{};    // then it is forgotten
         std::vector<Handle> idle{};  // ways, the one used last at the end
     };
     struct UpstreamConnection {  // one connection to a host, and the attempt that is out on it
         std::uint32_t host;
         HttpReader reader{HTTP_RESPONSE};
         Handle connection = 0, request = 0;
-        bool up = false;
-        int interim = 0;  // answers ahead of the one
-        Time sent = 0;
-        std::string waiting;  // what is to be written once it is up
+        bool connected = false;
+        int interim_responses = 0;  // answers ahead of the one
+        Time started_at = 0;
+        std::string unsent_request;  // what is to be written once it is up
         Deadlines::Key deadline{};
 
         explicit UpstreamConnection(std::uint32_t to) : host(to) {}
@@ -71,18 +71,19 @@
 
     Handle idle_upstream(Host& host);
     Handle open_upstream(std::uint32_t host);
-    void take_from_idle(Handle upstream);
-    void rest(Handle mark, UpstreamConnection& upstream);
-    void give_back(Handle mark, UpstreamConnection& upstream);
-    void drop_oldest_idle();
-    void release_idle(Host& host);
-    void now_stands(std::uint32_t number, Host& host, HostState state);
-    void not_ready(std::uint32_t host);
-    void forget_later(std::uint32_t number, Host& host);
-    void over(Handle mark, UpstreamConnection& upstream, AttemptOutcome outcome, const Answer& answer = {});
-    void later_over(Handle request, std::uint32_t host, AttemptOutcome outcome, Time took);
+    void remove_from_idle(Handle upstream);
+    void make_idle(Handle mark, UpstreamConnection& upstream);
+    void close_upstream(Handle mark, UpstreamConnection& upstream);
+    void close_longest_idle();
+    void close_idle_upstreams(Host& host);
+    void set_state(std::uint32_t number, Host& host, HostState state);
+    void stop_sending(std::uint32_t host);
+    void schedule_removal(std::uint32_t number, Host& host);
+    void finish_attempt(Handle mark, UpstreamConnection& upstream, AttemptOutcome outcome,
+                        const HostResponse& answer = {});
+    void post_attempt_ended(Handle request, std::uint32_t host, AttemptOutcome outcome, Time elapsed);
 
-    Outcomes& outcomes_;
+    AttemptListener& listener_;
     std::map<std::uint32_t, Host> hosts_;  // by number
     std::unordered_map<std::string, std::uint32_t> numbers_;
     std::uint32_t last_number_ = 0;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -16,23 +16,24 @@
 
 namespace dewweir::net {
 
-constexpr std::size_t most_body = 65536, most_head = 16384;
+constexpr std::size_t default_max_body_bytes = 65536, default_max_head_bytes = 16384;
 
-bool same_word(std::string_view a, std::string_view b);  // as HTTP compares names: case does not count
+bool equal_ignoring_case(std::string_view a,
+                         std::string_view b);  // as HTTP compares names: case does not count
 
 // In bytes. `window`: how much of a body may wait to be taken before reading stops.
 struct HttpLimits {
-    std::size_t head = most_head;
-    std::uint64_t body = most_body;
+    std::size_t head = default_max_head_bytes;
+    std::uint64_t body = default_max_body_bytes;
     std::size_t window = std::numeric_limits<std::size_t>::max();
     bool chunked_requests = false;
 };
 
 class HttpReader {
   public:
-    enum class State { more, whole, bad };
+    enum class State { more, complete, bad };
 
-    explicit HttpReader(http_parser_type kind, std::size_t body_limit = most_body);
+    explicit HttpReader(http_parser_type kind, std::size_t body_limit = default_max_body_bytes);
     HttpReader(http_parser_type kind, const HttpLimits& limits);
     HttpReader(const HttpReader&) = delete;
 
@@ -43,7 +44,7 @@
     // True from the first byte of a message until `next`.
     bool begun() const { return begun_; }
     bool head_read() const { return head_read_; }
-    bool whole() const { return whole_; }
+    bool complete() const { return complete_; }
     // The message's body comes in chunks; else its length is told, 0 where it has none.
     bool chunked() const { return chunked_; }
     std::uint64_t body_length() const { return body_length_; }
@@ -69,26 +70,26 @@
     bool has_field(std::string_view name) const;
     // The value of a field, empty where there is none, or more than one.
     std::string_view field(std::string_view name) const;
-    // Appends the fields that pass through a gateway, but those it is told to leave out.
-    void pass_on(std::string& to, std::initializer_list<std::string_view> but) const;
+    // Appends the fields that pass through a gateway, excluded those it is told to leave out.
+    void append_forwarded_fields(std::string& to, std::initializer_list<std::string_view> excluded) const;
 
   private:
     struct Field {
         std::size_t name, name_size, value, value_size;
     };
-    static HttpReader& of(http_parser* parser) { return *static_cast<HttpReader*>(parser->data); }
-    int grow(std::string& what, const char* at, std::size_t n);
-    // Counts bytes of a trailer, which is no part of the head and is not kept.
-    int drop(std::size_t n);
-    int stop(int status) { return fault_ = status, 1; }
-    bool framing_is_plain() const;
+    static HttpReader& reader_of(http_parser* parser) { return *static_cast<HttpReader*>(parser->data); }
+    int append_to_head(std::string& what, const char* at, std::size_t n);
+    // CounterListener bytes of a trailer, which is no part of the head and is not kept.
+    int count_trailer(std::size_t n);
+    int fail(int status) { return fault_ = status, 1; }
+    bool framing_is_unambiguous() const;
     // Whether a field of this name concerns this connection alone.
-    bool of_one_connection(std::string_view wanted) const;
-    void read_part(std::string_view part, Ring& ring);
+    bool is_hop_by_hop(std::string_view wanted) const;
+    void parse(std::string_view part, Ring& ring);
     std::string_view name(const Field& f) const { return {&fields_[f.name], f.name_size}; }
     std::string_view value(const Field& f) const;
 
-    static const http_parser_settings calls;
+    static const http_parser_settings callbacks;
 
     http_parser parser_;
     HttpLimits limits_;
@@ -96,7 +97,7 @@
     std::size_t trailer_size_ = 0;
     RequestFraming framing_;
     bool no_body_ = false, chunked_ = false;
-    bool begun_ = false, head_read_ = false, whole_ = false, in_value_ = false, keep_alive_ = true;
+    bool begun_ = false, head_read_ = false, complete_ = false, in_value_ = false, keep_alive_ = true;
     int fault_ = 0;
     std::string target_, fields_, body_;
     std::vector<Field> index_;
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -7,23 +7,23 @@
 namespace dewweir::net {
 namespace {
 
-constexpr std::size_t most_text = 1000;
+constexpr std::size_t max_text_bytes = 1000;
 
 }  // namespace
 
-void Log::tell(Event event, std::string text, Fields fields) {
+void Log::record(Event event, std::string text, Fields fields) {
     if (!shows(event)) return;
-    if (text.size() > most_text) text.resize(most_text);
+    if (text.size() > max_text_bytes) text.resize(max_text_bytes);
     for (char& c : text)
         if (static_cast<unsigned char>(c) < ' ') c = ' ';  // a peer's bytes must not make lines of their own
     std::string whole = kind_of(event).name + (' ' + text);
-    if (whole == last_) {
+    if (whole == last_line_) {
         ++repeats_;
         return;
     }
     flush_repeats();
     write(event, text, fields);
-    last_ = std::move(whole);
+    last_line_ = std::move(whole);
 }
 
 void Log::flush_repeats() {
@@ -39,27 +39,28 @@
 
 void Log::write(Event event, const std::string& text, Fields fields) {
     const auto now = std::chrono::steady_clock::now();
-    if (now - filled_ >= std::chrono::seconds(1)) filled_ = now, allowance_ = lines_;
+    if (now - allowance_set_at_ >= std::chrono::seconds(1))
+        allowance_set_at_ = now, allowance_ = lines_per_second_;
     if (allowance_ <= 0 || !writable()) {
-        ++left_out_;
+        ++lines_dropped_;
         return;
     }
     --allowance_;
     std::string lines;
-    if (left_out_)
-        lines =
-            line(Event::log_left_out, std::to_string(left_out_) + " lines left out", {{"lines", left_out_}});
+    if (lines_dropped_)
+        lines = line(Event::log_left_out, std::to_string(lines_dropped_) + " lines left out",
+                     {{"lines", lines_dropped_}});
     lines += line(event, text, fields);
     out_.clear();  // what went wrong before, as on a full disk, may be right again
     out_ << lines << std::flush;
-    if (out_) left_out_ = 0;
-    else ++left_out_;
+    if (out_) lines_dropped_ = 0;
+    else ++lines_dropped_;
 }
 
 std::string Log::line(Event event, const std::string& text, Fields fields) const {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
-    return form_(std::chrono::duration_cast<std::chrono::milliseconds>(now).count(), kind_of(event), text,
-                 fields) +
+    return format_(std::chrono::duration_cast<std::chrono::milliseconds>(now).count(), kind_of(event), text,
+                   fields) +
            '\n';
 }
 
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -8,43 +8,46 @@
 
 namespace dewweir::net {
 
-Node::Node(asio::io_context& io, Log& log, const Configuration& told, Tallies* tallies)
+Node::Node(asio::io_context& io, Log& log, const Configuration& configuration,
+           ActivityObserver* activity_observer)
     : io_(io),
       log_(log),
-      tallies_(tallies),
+      activity_observer_(activity_observer),
       // Alarms are as exact as in the simulator, which looks at them once a step.
-      deadlines_(std::min<Time>(told.step, 50)),
+      deadlines_(std::min<Time>(configuration.timer_step, 50)),
       // Standard streams, listening, signals, the loop's own: 14 descriptors with a margin.
-      connections_(io, deadlines_, told.sockets - 14),
-      part_{io, deadlines_, connections_, log, told},
-      hosts_(part_, *this),
-      counter_(part_, *this),
-      discovery_(part_, *this),
-      decisions_(*this, told.settings, told.seed, deadlines_.now()),
-      clients_(part_, *this) {
-    if (!told.known.entries.empty()) list_told(told.known);
-    // Where news must be asked for, the decision module asks by itself.
-    if (!told.ask) discovery_.follow();
-    if (tallies_) tally();
+      connections_(io, deadlines_, configuration.max_sockets - 14),
+      context_{io, deadlines_, connections_, log, configuration},
+      hosts_(context_, *this),
+      counter_(context_, *this),
+      discovery_(context_, *this),
+      decisions_(*this, configuration.settings, configuration.seed, deadlines_.now()),
+      clients_(context_, *this) {
+    if (!configuration.initial_hosts.entries.empty()) host_list_received(configuration.initial_hosts);
+    // Where listener must be asked for, the decision module asks by itself.
+    if (!configuration.watch_on_request) discovery_.watch();
+    if (activity_observer_) schedule_activity_report();
 }
 
 // At the same moments everywhere, so that gateways can be compared.
-void Node::tally() {
-    const Time every = tallies_->every();
+void Node::schedule_activity_report() {
+    const Time every = activity_observer_->interval();
     deadlines_.after(every - deadlines_.now() % every, [this] {
-        tallies_->tell(log_, deadlines_.now());
-        tally();
+        activity_observer_->report(log_, deadlines_.now());
+        schedule_activity_report();
     });
 }
 
-void Node::keep(PeerObserver* peer_observer) {
+void Node::set_peer_observer(PeerObserver* peer_observer) {
     peer_observer_ = peer_observer;
-    if (peer_observer_) peer_observer_->list_told(part_.told_.known);  // what every later list is a change to
+    if (peer_observer_)
+        peer_observer_->host_list_received(
+            context_.configuration_.initial_hosts);  // what every later list is a change to
 }
 
 void Node::run() {
     while (!io_.stopped()) {
-        deadlines_.run_passed();
+        deadlines_.run_due();
         // Due at once or not: sockets have their turn between any two rounds of deadlines.
         const auto next = deadlines_.next();
         if (next > std::chrono::steady_clock::now()) io_.run_one_until(next);
@@ -52,42 +55,43 @@
     }
 }
 
-void Node::take_over(const Configuration& fresh) {
-    deadlines_.turn();
-    const Configuration& told = part_.told_;
-    const std::pair<const char*, bool> others[] = {{"name", fresh.name != told.name},
-                                                   {"listen", fresh.listen != told.listen},
-                                                   {"limits.sockets", fresh.sockets != told.sockets},
-                                                   {"settings", fresh.settings != told.settings}};
-    for (const auto& [key, differs] : others)
+void Node::reload(const Configuration& fresh) {
+    deadlines_.update_now();
+    const Configuration& configuration = context_.configuration_;
+    const std::pair<const char*, bool> restart_only[] = {
+        {"name", fresh.name != configuration.name},
+        {"listen", fresh.listen != configuration.listen},
+        {"limits.sockets", fresh.max_sockets != configuration.max_sockets},
+        {"settings", fresh.settings != configuration.settings}};
+    for (const auto& [key, differs] : restart_only)
         if (differs)
-            log_.tell(Event::configuration_restart,
-                      std::string("configuration: ") + key + ": needs a restart", {{"key", key}});
-    discovery_.move_to(fresh.discovery);
-    if (fresh.counter) counter_.move_to(*fresh.counter);
-    log_.tell(Event::configuration_read, "configuration: read again");
+            log_.record(Event::configuration_restart,
+                        std::string("configuration: ") + key + ": needs a restart", {{"key", key}});
+    discovery_.set_address(fresh.discovery);
+    if (fresh.counter) counter_.set_address(*fresh.counter);
+    log_.record(Event::configuration_read, "configuration: read again");
 }
 
 // ---- what the module has done ----
 
 void Node::start_attempt(std::uint32_t id, std::uint32_t host, Time give_up_after) {
     Request* const r = requests_.find(id);
-    if (!r || !r->client || r->out) {
+    if (!r || !r->client || r->in_flight) {
         asio::post(io_, [this, id, host] {
-            deadlines_.turn();
+            deadlines_.update_now();
             decisions_.attempt_ended(deadlines_.now(), id, 0, host, AttemptOutcome::not_sent, 0, true, 0);
         });
         return;
     }
     ++r->attempts;
-    r->out = true;
-    if (tallies_) tallies_->attempt_started(r->attempts == 1, r->units);
-    if (peer_observer_) peer_observer_->host_asked(hosts_.id_of(host));
-    r->attempt = hosts_.start_attempt(id, host, r->head, r->body, give_up_after);
+    r->in_flight = true;
+    if (activity_observer_) activity_observer_->attempt_started(r->attempts == 1, r->units);
+    if (peer_observer_) peer_observer_->attempt_started(hosts_.id_of(host));
+    r->attempt_handle = hosts_.start_attempt(id, host, r->head, r->body, give_up_after);
 }
 
 void Node::refuse(std::uint32_t id, Time retry_after) {
-    if (tallies_) tallies_->refused();
+    if (activity_observer_) activity_observer_->refused();
     char advice[48] = "";
     if (retry_after > 0)
         std::snprintf(advice, sizeof advice, "Retry-After: %.4f\r\n",
@@ -96,59 +100,59 @@
 }
 
 void Node::fail(std::uint32_t id) {
-    if (tallies_) tallies_->failed();
+    if (activity_observer_) activity_observer_->failed();
     answer(id, 502, {}, "written off\n");
 }
 
 void Node::cancel(std::uint32_t id, int attempt) {
     Request* const r = requests_.find(id);
-    if (!r || !r->out || attempt != r->attempts - 1) return;
-    hosts_.call_off(r->attempt);
+    if (!r || !r->in_flight || attempt != r->attempts - 1) return;
+    hosts_.cancel(r->attempt_handle);
 }
 
 void Node::add_to_counter(std::uint64_t name, double amount, Time keep_for) {
-    if (tallies_) tallies_->counted(amount);
-    counter_.count(name, amount, keep_for);
+    if (activity_observer_) activity_observer_->counter_called(amount);
+    counter_.add(name, amount, keep_for);
 }
 
 void Node::start_timer(Time from_now, std::uint64_t token) {
     const Deadlines::Key key = deadlines_.after(from_now, [this, token] {
-        alarms_.erase(token);
+        timers_.erase(token);
         decisions_.timer_expired(deadlines_.now(), token);
     });
     // One that is set twice stays set twice; the later one can be taken back.
-    alarms_[token] = key;
+    timers_[token] = key;
 }
 
 void Node::cancel_timer(std::uint64_t token) {
-    const auto found = alarms_.find(token);
-    if (found == alarms_.end()) return;
-    deadlines_.drop(found->second);
-    alarms_.erase(found);
+    const auto found = timers_.find(token);
+    if (found == timers_.end()) return;
+    deadlines_.cancel(found->second);
+    timers_.erase(found);
 }
 
 void Node::watch_host_list() {
     // Asked for by the decision module, maybe while it is being told that the last try failed.
     asio::post(io_, [this] {
-        deadlines_.turn();
-        discovery_.follow();
+        deadlines_.update_now();
+        discovery_.watch();
     });
 }
 
 void Node::log(LogEvent event, std::uint32_t host, const std::string& line) {
     if (peer_observer_ && (event == LogEvent::host_ejected || event == LogEvent::host_restored))
-        peer_observer_->host_found(hosts_.id_of(host), event == LogEvent::host_ejected);
+        peer_observer_->host_status_changed(hosts_.id_of(host), event == LogEvent::host_ejected);
     switch (event) {
-        case LogEvent::breaker_open: return log_.tell(Event::breaker_open, line);
-        case LogEvent::breaker_closed: return log_.tell(Event::breaker_closed, line);
-        case LogEvent::host_ejected: return log_.tell(Event::host_shut, line, {{"host", host}});
-        case LogEvent::host_restored: return log_.tell(Event::host_back, line, {{"host", host}});
+        case LogEvent::breaker_open: return log_.record(Event::breaker_open, line);
+        case LogEvent::breaker_closed: return log_.record(Event::breaker_closed, line);
+        case LogEvent::host_ejected: return log_.record(Event::host_shut, line, {{"host", host}});
+        case LogEvent::host_restored: return log_.record(Event::host_back, line, {{"host", host}});
     }
 }
 
 void Node::report_decisions(const DecisionCounts& often) {
-    if (tallies_) tallies_->report_decisions(often);
-    if (const std::string line = decided_line(often); !line.empty()) log_.tell(Event::decided, line);
+    if (activity_observer_) activity_observer_->report_decisions(often);
+    if (const std::string line = decided_line(often); !line.empty()) log_.record(Event::decided, line);
 }
 
 void Node::publish_total(std::uint64_t name, double total) {
@@ -159,14 +163,14 @@
     Request* const r = requests_.find(id);
     if (!r || !r->client) return;
     clients_.answer(std::exchange(r->client, 0), status, fields, body);
-    forget_if_over(id);
+    remove_if_done(id);
 }
 
-// The decision module may name a request for as long as an attempt is out; a later mention finds
+// The decision module may name a request for as long as an attempt is in_flight; a later mention finds
 // nothing.
-void Node::forget_if_over(Handle id) {
+void Node::remove_if_done(Handle id) {
     const Request* const r = requests_.find(id);
-    if (!r || r->client || r->out) return;
+    if (!r || r->client || r->in_flight) return;
     open_.erase(r->id);
     requests_.remove(id);
 }
@@ -177,59 +181,59 @@
     const Handle id = requests_.add(client, received.id, std::move(received.head), std::move(received.body));
     if (!id) return 0;
     open_.insert(std::move(received.id));
-    if (tallies_) {
-        tallies_->request_received(received.units);
+    if (activity_observer_) {
+        activity_observer_->request_received(received.units);
         Request& r = *requests_.find(id);
-        r.route_class = received.route_class, r.units = received.units, r.since = deadlines_.now();
+        r.route_class = received.route_class, r.units = received.units, r.received_at = deadlines_.now();
     }
-    decisions_.request_received(deadlines_.now(), id, received.route_class, received.plan, received.tenant,
-                                received.units, received.gateways, received.patience);
+    decisions_.request_received(deadlines_.now(), id, received.route_class, received.quota_plan,
+                                received.tenant, received.units, received.gateways, received.time_limit);
     return id;
 }
 
-void Node::client_gone(Handle id) {
+void Node::client_disconnected(Handle id) {
     Request* const r = requests_.find(id);
     if (!r || !r->client) return;
     r->client = 0;
-    if (tallies_) tallies_->client_gone();
+    if (activity_observer_) activity_observer_->client_disconnected();
     decisions_.client_disconnected(deadlines_.now(), id);
-    forget_if_over(id);
+    remove_if_done(id);
 }
 
-void Node::attempt_over(Handle id, std::uint32_t host, AttemptOutcome outcome, Time took,
-                        const Answer& answer) {
+void Node::attempt_ended(Handle id, std::uint32_t host, AttemptOutcome outcome, Time took,
+                         const HostResponse& answer) {
     Request* const r = requests_.find(id);
     if (!r) return;
-    r->out = false;
-    r->attempt = 0;
+    r->in_flight = false;
+    r->attempt_handle = 0;
     const int attempt = r->attempts - 1;
     if (outcome == AttemptOutcome::ok && r->client) {
-        if (tallies_) tallies_->served(r->route_class, deadlines_.now() - r->since);
+        if (activity_observer_) activity_observer_->served(r->route_class, deadlines_.now() - r->received_at);
         clients_.answer(std::exchange(r->client, 0), 200, answer.fields, answer.body);
     }
-    const bool settled = r->client == 0;
-    if (peer_observer_) peer_observer_->host_ended(hosts_.id_of(host), outcome, took);
-    decisions_.attempt_ended(deadlines_.now(), id, attempt, host, outcome, took, settled, 0);
-    forget_if_over(id);
+    const bool client_done = r->client == 0;
+    if (peer_observer_) peer_observer_->attempt_ended(hosts_.id_of(host), outcome, took);
+    decisions_.attempt_ended(deadlines_.now(), id, attempt, host, outcome, took, client_done, 0);
+    remove_if_done(id);
 }
 
-void Node::counted(std::uint64_t name, AttemptOutcome outcome, double total, Time took) {
+void Node::counter_replied(std::uint64_t name, AttemptOutcome outcome, double total, Time took) {
     decisions_.counter_replied(deadlines_.now(), name, outcome, total, took);
 }
 
-void Node::list_told(const Listing& listing) {
+void Node::host_list_received(const HostList& listing) {
     const Time now = deadlines_.now();
-    decisions_.list_begins(now, listing.whole);
-    for (const Entry& entry : listing.entries) {
-        const std::uint32_t host = hosts_.listed(entry);
+    decisions_.list_begins(now, listing.complete);
+    for (const HostEntry& entry : listing.entries) {
+        const std::uint32_t host = hosts_.update(entry);
         if (host) decisions_.host_listed(now, host, entry.state, entry.up_since, entry.zone, entry.cell);
     }
-    if (listing.whole) hosts_.keep_only(listing.entries);
+    if (listing.complete) hosts_.remove_unlisted(listing.entries);
     decisions_.list_ends(now);
-    if (peer_observer_) peer_observer_->list_told(listing);
+    if (peer_observer_) peer_observer_->host_list_received(listing);
 }
 
-void Node::list_failed() { decisions_.list_failed(deadlines_.now()); }
+void Node::watch_failed() { decisions_.list_failed(deadlines_.now()); }
 
 void Node::host_reported(const std::string& host, const HostReport& said) {
     if (const std::uint32_t number = hosts_.number_of(host))
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -1,6 +1,6 @@
 // One gateway: owns the requests and the decision module that decides on them, and ties clients, hosts,
-// counter and discovery to it. It carries out and reports; it must never decide, nor call the decision module
-// from within a call of the decision module's.
+// counter and discovery to it. It carries in_flight and reports; it must never decide, nor call the decision
+// module from within a call of the decision module's.
 #pragma once
 
 #include <string>
@@ -19,18 +19,19 @@
 
 namespace dewweir::net {
 
-class Node : Gateway, Intake, Outcomes, Counts, ListNews, ReportReceiver {
+class Node : Gateway, RequestHandler, AttemptListener, CounterListener, HostListListener, ReportReceiver {
   public:
     // Throws when the address cannot be listened on, or a setting is missing.
     // `tallies`: told of what is done, where somebody counts it; outlives the node.
-    Node(asio::io_context& io, Log& log, const Configuration& told, Tallies* tallies = nullptr);
+    Node(asio::io_context& io, Log& log, const Configuration& configuration,
+         ActivityObserver* activity_observer = nullptr);
     void run();  // until the loop is stopped
     // A new configuration: where discovery and the counter are. What else it changes is named in the log.
-    void take_over(const Configuration& fresh);
-    const Part& part() const { return part_; }
+    void reload(const Configuration& fresh);
+    const NodeContext& context() const { return context_; }
     ReportReceiver& report_receiver() { return *this; }
     // Told from now on what we find, until it is nullptr again.
-    void keep(PeerObserver* peer_observer);
+    void set_peer_observer(PeerObserver* peer_observer);
     void stop(std::function<void()> done) { clients_.stop(std::move(done)); }
 
   private:
@@ -38,11 +39,11 @@
         Handle client;  // 0 once it is answered, or its client has left
         std::string id, head, body;
         int attempts = 0;
-        bool out = false;
-        Handle attempt = 0;  // what calls it off, while it is out
+        bool in_flight = false;
+        Handle attempt_handle = 0;  // what calls it off, while it is in_flight
         int route_class = 0;
         double units = 0;
-        Time since = 0;
+        Time received_at = 0;
     };
 
     void start_attempt(std::uint32_t request, std::uint32_t host, Time give_up_after) override;
@@ -64,13 +65,13 @@
     }
 
     Handle request_received(Handle client, ReceivedRequest&& received) override;
-    bool has_open(const std::string& id) const override { return open_.contains(id); }
-    void client_gone(Handle request) override;
-    void attempt_over(Handle request, std::uint32_t host, AttemptOutcome outcome, Time took,
-                      const Answer& answer) override;
-    void counted(std::uint64_t name, AttemptOutcome outcome, double total, Time took) override;
-    void list_told(const Listing& listing) override;
-    void list_failed() override;
+    bool is_open(const std::string& id) const override { return open_.contains(id); }
+    void client_disconnected(Handle request) override;
+    void attempt_ended(Handle request, std::uint32_t host, AttemptOutcome outcome, Time took,
+                       const HostResponse& answer) override;
+    void counter_replied(std::uint64_t name, AttemptOutcome outcome, double total, Time took) override;
+    void host_list_received(const HostList& listing) override;
+    void watch_failed() override;
     void host_reported(const std::string& host, const HostReport& said) override;
     double lend_tokens(const QuotaShare& of, double units) override {
         return decisions_.lend_tokens(deadlines_.now(), of, units);
@@ -80,19 +81,19 @@
     }
 
     void answer(Handle request, int status, std::string_view fields, std::string_view body);
-    void forget_if_over(Handle request);
-    void tally();
+    void remove_if_done(Handle request);
+    void schedule_activity_report();
 
     asio::io_context& io_;
     Log& log_;
-    Tallies* tallies_;
+    ActivityObserver* activity_observer_;
     PeerObserver* peer_observer_ = nullptr;
     Deadlines deadlines_;
     Connections connections_;
-    Part part_;
+    NodeContext context_;
     Slots<Request> requests_;
     std::unordered_set<std::string> open_;  // the clients' ids of all requests, never walked
-    std::unordered_map<std::uint64_t, Deadlines::Key> alarms_;  // by token, while they stand
+    std::unordered_map<std::uint64_t, Deadlines::Key> timers_;  // by token, while they stand
     Hosts hosts_;
     Counter counter_;
     Discovery discovery_;
--- a/src/net/part.h
+++ b/src/net/part.h
@@ -1,5 +1,5 @@
-// What every part of a gateway works with; owned by the node. A part must never keep any of it alive on its
-// own.
+// What every context of a gateway works with; owned by the node. A context must never keep any of it alive on
+// its own.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,12 +11,12 @@
 
 namespace dewweir::net {
 
-struct Part {
+struct NodeContext {
     asio::io_context& io_;
     Deadlines& deadlines_;
     Connections& connections_;
     Log& log_;
-    const Configuration& told_;
+    const Configuration& configuration_;
 };
 
 }  // namespace dewweir::net
--- a/src/net/peer_observer.h
+++ b/src/net/peer_observer.h
@@ -18,10 +18,11 @@
 
     // What we found ourselves. May be called from within a call of the decision module's: what follows comes
     // later.
-    virtual void host_found(const std::string& host, bool shut) = 0;
-    virtual void host_asked(const std::string& host) = 0;  // an attempt goes there
-    virtual void host_ended(const std::string& host, AttemptOutcome outcome, Time took) = 0;  // it has ended
-    virtual void list_told(const Listing& listing) = 0;
+    virtual void host_status_changed(const std::string& host, bool shut) = 0;
+    virtual void attempt_started(const std::string& host) = 0;  // an attempt goes there
+    virtual void attempt_ended(const std::string& host, AttemptOutcome outcome,
+                               Time took) = 0;  // it has ended
+    virtual void host_list_received(const HostList& listing) = 0;
     virtual void publish_total(std::uint64_t name, double total) = 0;
     virtual void report_shortage(const QuotaShare& of,
                                  double units) = 0;  // our part did, of a tenant's quota
--- a/src/net/tallies.h
+++ b/src/net/tallies.h
@@ -8,20 +8,20 @@
 
 class Log;
 
-class Tallies {
+class ActivityObserver {
   public:
-    virtual ~Tallies() = default;
+    virtual ~ActivityObserver() = default;
     virtual void request_received(double units) = 0;
     virtual void attempt_started(bool first, double units) = 0;
-    virtual void counted(double units) = 0;  // a call to the counter: added, or given back under 0
+    virtual void counter_called(double units) = 0;  // a call to the counter: added, or given back under 0
     virtual void served(int route_class, Time took) = 0;
     virtual void refused() = 0;
     virtual void failed() = 0;
-    virtual void client_gone() = 0;
+    virtual void client_disconnected() = 0;
     virtual void report_decisions(const DecisionCounts& often) = 0;
     // Tells the log what was counted since the last time; `now` as the node has it.
-    virtual void tell(Log& log, Time now) = 0;
-    virtual Time every() const = 0;  // how often that is
+    virtual void report(Log& log, Time now) = 0;
+    virtual Time interval() const = 0;  // how often that is
 };
 
 }  // namespace dewweir::net
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -119,7 +119,8 @@
              0,
              0,
              {"on", "off"},
-             "With verdicts: whether parts of quotas move between gateways while the counter cannot be asked."},
+             "With verdicts: whether parts of quotas move between gateways while the counter cannot be "
+             "asked."},
         },
         {}};
     return all;
@@ -151,7 +152,7 @@
     members.verdicts = told.text("members.verdicts") == "on";
     members.rights = told.text("members.rights") == "on";
     if (members.listen.empty()) return read;
-    std::vector<errors::Complaint> wrong;
+    std::vector<errors::FileProblem> wrong;
     for (const char* const key : {"members.deployment", "members.from"})
         if (!told.told(key))
             wrong.push_back({file, told.line("members.listen"), key, "missing, beside members.listen"});
--- a/src/operator/schema.cpp
+++ b/src/operator/schema.cpp
@@ -61,7 +61,7 @@
 
 struct SchemaReader {
     const std::string& file;
-    std::vector<errors::Complaint> complaints{};
+    std::vector<errors::FileProblem> complaints{};
 
     void complain(const toml::node& at, const std::string& key, const std::string& what) {
         complaints.push_back({file, static_cast<int>(at.source().begin.line), key, what});
@@ -156,7 +156,7 @@
 }
 
 Document parse_document(const std::string& text, const std::string& file, const Schema& schema,
-                        std::vector<errors::Complaint>& complaints) {
+                        std::vector<errors::FileProblem>& complaints) {
     SchemaReader reader{file};
     Document document;
     document.top.keys_ = &schema.keys;
@@ -182,15 +182,16 @@
     return document;
 }
 
-void throw_if_any(std::vector<errors::Complaint> complaints) {
+void throw_if_any(std::vector<errors::FileProblem> complaints) {
     if (complaints.empty()) return;
-    std::stable_sort(complaints.begin(), complaints.end(),
-                     [](const errors::Complaint& a, const errors::Complaint& b) { return a.line < b.line; });
+    std::stable_sort(
+        complaints.begin(), complaints.end(),
+        [](const errors::FileProblem& a, const errors::FileProblem& b) { return a.line < b.line; });
     throw errors::BadFile(std::move(complaints));
 }
 
 Document parse_document(const std::string& text, const std::string& file, const Schema& schema) {
-    std::vector<errors::Complaint> complaints;
+    std::vector<errors::FileProblem> complaints;
     Document document = parse_document(text, file, schema, complaints);
     throw_if_any(std::move(complaints));
     return document;
--- a/src/operator/schema.h
+++ b/src/operator/schema.h
@@ -49,7 +49,7 @@
   private:
     friend struct SchemaReader;
     friend Document parse_document(const std::string&, const std::string&, const Schema&,
-                                   std::vector<errors::Complaint>&);
+                                   std::vector<errors::FileProblem>&);
     struct Told {
         std::string text;
         std::vector<std::string> texts;
@@ -71,9 +71,9 @@
 Document parse_document(const std::string& text, const std::string& file, const Schema& schema);
 // The same for a reader that has more to complain of: what is wrong is put on the list, what is not is read.
 Document parse_document(const std::string& text, const std::string& file, const Schema& schema,
-                        std::vector<errors::Complaint>& complaints);
+                        std::vector<errors::FileProblem>& complaints);
 // Throws errors::BadFile with these in the order of their lines, if there are any.
-void throw_if_any(std::vector<errors::Complaint> complaints);
+void throw_if_any(std::vector<errors::FileProblem> complaints);
 // What a file holds; throws errors::BadFile where it cannot be read.
 std::string file_text(const std::string& file);
 
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -18,7 +18,7 @@
 constexpr int most_at_once = 256;  // datagrams of one turn: the clients' turn comes too
 
 udp::endpoint endpoint_of(const std::string& key, const std::string& text) {
-    const auto at = net::address_of(key, text);
+    const auto at = net::parse_address(key, text);
     return {at.address(), at.port()};
 }
 Address number_of(const udp::endpoint& at) {
@@ -48,7 +48,7 @@
     return terms;
 }
 
-Peers::Peers(const net::Part& part, net::ReportReceiver& report_receiver, const MembersFile& file,
+Peers::Peers(const net::NodeContext& part, net::ReportReceiver& report_receiver, const MembersFile& file,
              const std::string& name, std::uint64_t seed, std::uint64_t instance)
     : part_(part),
       file_(file),
@@ -81,8 +81,8 @@
 
 Peers::~Peers() {
     *there_ = false;
-    part_.deadlines_.drop(next_);
-    part_.deadlines_.drop(look_);
+    part_.deadlines_.cancel(next_);
+    part_.deadlines_.cancel(look_);
     std::error_code ignored;
     socket_.close(ignored);
 }
@@ -90,7 +90,7 @@
 void Peers::listen() {
     socket_.async_wait(udp::socket::wait_read, [this, there = there_](const std::error_code& fault) {
         if (!*there || fault) return;
-        part_.deadlines_.turn();
+        part_.deadlines_.update_now();
         for (int n = 0; n < most_at_once; ++n) {
             std::error_code why;
             const std::size_t bytes = socket_.receive_from(asio::buffer(buffer_), from_, 0, why);
@@ -128,28 +128,28 @@
     if (look_.first <= now) {
         write_status(now);
         if (now / look_every % (refused_every / look_every) == 0) tell_refused();
-        part_.deadlines_.drop(look_);
+        part_.deadlines_.cancel(look_);
         look_ = part_.deadlines_.after(look_every, [this] { turn(); });
     }
 }
 
-void Peers::host_found(const std::string& host, bool shut) {
+void Peers::host_status_changed(const std::string& host, bool shut) {
     if (!words_) return;
     words_->host_found(part_.deadlines_.now(), host, shut);
     soon();
 }
 
-void Peers::host_asked(const std::string& host) {
+void Peers::attempt_started(const std::string& host) {
     if (!words_) return;
     const Time due = words_->host_asked(part_.deadlines_.now(), host);
     if (due < next_.first) wake_at(due);
 }
 
-void Peers::host_ended(const std::string& host, AttemptOutcome outcome, Time took) {
+void Peers::attempt_ended(const std::string& host, AttemptOutcome outcome, Time took) {
     if (words_) words_->host_ended(part_.deadlines_.now(), host, outcome, took);
 }
 
-void Peers::list_told(const net::Listing& listing) {
+void Peers::host_list_received(const net::HostList& listing) {
     if (!words_) return;
     words_->list_told(part_.deadlines_.now(), listing);
     soon();
@@ -172,7 +172,7 @@
     asio::post(part_.io_, [this, there = there_] {
         if (!*there) return;
         soon_ = false;
-        part_.deadlines_.turn();
+        part_.deadlines_.update_now();
         follow();
     });
 }
@@ -198,7 +198,7 @@
 
 void Peers::wake_at(Time next) {
     const Time now = part_.deadlines_.now();
-    part_.deadlines_.drop(next_);
+    part_.deadlines_.cancel(next_);
     if (next - now < 1000 * look_every)
         next_ = part_.deadlines_.after(std::max<Time>(1, next - now), [this] { turn(); });
 }
@@ -207,7 +207,7 @@
     net::Log& log = part_.log_;
     for (const members::Update& one : members_.changes()) {
         const std::string at = text_of(one.address);
-        log.tell(
+        log.record(
             net::Event::members_state,
             "member " + one.name + " at " + at + ": " + members::name_of(one.state) +
                 (one.by.empty() ? "" : ", by " + one.by),
@@ -219,23 +219,24 @@
     const auto count = static_cast<std::int64_t>(live_.count());
     if (live_.cut_off() != cut_told_) {
         cut_told_ = live_.cut_off();
-        log.tell(cut_told_ ? net::Event::members_cut_off : net::Event::members_healed,
-                 cut_told_ ? "members: cut off: " + std::to_string(present) + " seen; the count stays at " +
-                                 std::to_string(count)
-                           : "members: healed: " + std::to_string(present) + " seen",
-                 {{"present", present}, {"count", count}});
+        log.record(cut_told_ ? net::Event::members_cut_off : net::Event::members_healed,
+                   cut_told_ ? "members: cut off: " + std::to_string(present) + " seen; the count stays at " +
+                                   std::to_string(count)
+                             : "members: healed: " + std::to_string(present) + " seen",
+                   {{"present", present}, {"count", count}});
     }
     if (live_.count() != count_told_) {
         count_told_ = live_.count();
-        log.tell(net::Event::members_count, "members: " + std::to_string(count) + " count",
-                 {{"present", present}, {"count", count}});
+        log.record(net::Event::members_count, "members: " + std::to_string(count) + " count",
+                   {{"present", present}, {"count", count}});
     }
     if (members_.replaced() && !replaced_told_) {
         replaced_told_ = true;
         const std::string at = text_of(members_.replaced_by());
-        log.tell(net::Event::members_replaced,
-                 "members: a later process has the name " + name_ + ", at " + at + "; this one says no more",
-                 {{"address", at}});
+        log.record(
+            net::Event::members_replaced,
+            "members: a later process has the name " + name_ + ", at " + at + "; this one says no more",
+            {{"address", at}});
     }
 }
 
@@ -249,15 +250,16 @@
                        version = of(Refused::unknown_version), replayed = of(Refused::replayed),
                        strangers = of(Refused::stranger);
     refused_told_ = refused_;
-    part_.log_.tell(net::Event::members_refused,
-                    "members: datagrams dropped: torn " + std::to_string(torn) + ", other deployment " +
-                        std::to_string(other) + ", unknown version " + std::to_string(version) +
-                        ", replayed " + std::to_string(replayed) + ", strangers " + std::to_string(strangers),
-                    {{"torn", torn},
-                     {"other_deployment", other},
-                     {"unknown_version", version},
-                     {"replayed", replayed},
-                     {"strangers", strangers}});
+    part_.log_.record(net::Event::members_refused,
+                      "members: datagrams dropped: torn " + std::to_string(torn) + ", other deployment " +
+                          std::to_string(other) + ", unknown version " + std::to_string(version) +
+                          ", replayed " + std::to_string(replayed) + ", strangers " +
+                          std::to_string(strangers),
+                      {{"torn", torn},
+                       {"other_deployment", other},
+                       {"unknown_version", version},
+                       {"replayed", replayed},
+                       {"strangers", strangers}});
 }
 
 json Peers::status(Time now) const {
@@ -305,8 +307,8 @@
     const bool held_up = status_->writing();
     if (!held_up) status_->write(status(now).dump(1) + '\n');
     if (status_->failed() || (held_up && !held_up_told_))
-        part_.log_.tell(net::Event::members_status, "members: cannot write " + file_.status,
-                        {{"file", file_.status}});
+        part_.log_.record(net::Event::members_status, "members: cannot write " + file_.status,
+                          {{"file", file_.status}});
     held_up_told_ = held_up;
 }
 
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -25,15 +25,15 @@
   public:
     // `name`: ours; `instance`: when this process was started, in ms since 1970. Throws errors::CannotListen,
     // errors::BadSetting.
-    Peers(const net::Part& part, net::ReportReceiver& report_receiver, const MembersFile& file,
+    Peers(const net::NodeContext& part, net::ReportReceiver& report_receiver, const MembersFile& file,
           const std::string& name, std::uint64_t seed, std::uint64_t instance);
     ~Peers() override;
 
     void leave() override;
-    void host_found(const std::string& host, bool shut) override;
-    void host_asked(const std::string& host) override;
-    void host_ended(const std::string& host, AttemptOutcome outcome, Time took) override;
-    void list_told(const net::Listing& listing) override;
+    void host_status_changed(const std::string& host, bool shut) override;
+    void attempt_started(const std::string& host) override;
+    void attempt_ended(const std::string& host, AttemptOutcome outcome, Time took) override;
+    void host_list_received(const net::HostList& listing) override;
     void publish_total(std::uint64_t name, double total) override;
     void report_shortage(const QuotaShare& of, double units) override;
     double corroborated_total(std::uint64_t name) const override;
@@ -51,7 +51,7 @@
     void write_status(Time now);
     nlohmann::json status(Time now) const;
 
-    net::Part part_;
+    net::NodeContext part_;
     MembersFile file_;
     std::string name_;
     asio::ip::udp::socket socket_;
--- a/src/peers/words.cpp
+++ b/src/peers/words.cpp
@@ -69,11 +69,11 @@
     return counts_.told(now, name, total);
 }
 
-void Words::list_told(Time now, const net::Listing& listing) {
+void Words::list_told(Time now, const net::HostList& listing) {
     std::vector<verdicts::ListedHost> hosts;
-    for (const net::Entry& one : listing.entries)
+    for (const net::HostEntry& one : listing.entries)
         hosts.push_back({one.id, one.state == HostState::ready, one.up_since});
-    lists_.told(now, listing.revision, listing.whole, hosts);
+    lists_.told(now, listing.revision, listing.complete, hosts);
 }
 
 void Words::follow(Time now) {
--- a/src/peers/words.h
+++ b/src/peers/words.h
@@ -29,7 +29,7 @@
     bool publish_total(Time now, std::uint64_t name, double total);      // whether there is news to tell
     bool report_shortage(Time now, const QuotaShare& of, double units);  // whether there is something to tell
     double corroborated_total(Time now, std::uint64_t name) const { return counts_.known(now, name); }
-    void list_told(Time now, const net::Listing& listing);
+    void list_told(Time now, const net::HostList& listing);
     void gone(const std::string& origin) { hosts_.gone(origin); }
 
     // What has come to be told, to the others and to the decisions. Not from within a call of the decision
--- a/src/program/http_exchange.cpp
+++ b/src/program/http_exchange.cpp
@@ -59,7 +59,7 @@
             ring.append({piece_.data(), bytes_});
             const net::HttpReader::State state = reader.read(ring);
             if (state == net::HttpReader::State::bad) return ExchangeFault::broken;
-            if (state == net::HttpReader::State::whole) break;
+            if (state == net::HttpReader::State::complete) break;
         }
         HttpResponse response;
         response.status = static_cast<int>(reader.status());
--- a/src/rig/counter_service.h
+++ b/src/rig/counter_service.h
@@ -11,7 +11,7 @@
 
 namespace dewweir::rig {
 
-class CounterService : net::User {
+class CounterService : net::ConnectionHandler {
   public:
     CounterService(Loop& loop, const model::CounterTraits& traits, const tcp::endpoint& at);
     ~CounterService() override;
--- a/src/rig/datagram_link.cpp
+++ b/src/rig/datagram_link.cpp
@@ -32,7 +32,7 @@
     near_[end].async_receive_from(asio::buffer(buffers_[end]), from_[end],
                                   [this, end, there = there_](const std::error_code& fault, std::size_t n) {
                                       if (!*there || fault == asio::error::operation_aborted) return;
-                                      loop_.deadlines.turn();
+                                      loop_.deadlines.update_now();
                                       // Only the end it stands before is carried on; a stranger's is no
                                       // traffic of this link.
                                       if (!fault && from_[end] == ends_[end])
--- a/src/rig/discovery_service.cpp
+++ b/src/rig/discovery_service.cpp
@@ -29,7 +29,7 @@
 }
 
 DiscoveryService::~DiscoveryService() {
-    loop_.deadlines.drop(beat_);
+    loop_.deadlines.cancel(beat_);
     ways_.each([&](std::uint32_t, Way& way) { loop_.connections.close(way.connection); });
 }
 
@@ -123,7 +123,7 @@
     if (!way || way->watching) return;
     const auto state = way->reader.read(loop_.connections.in(connection));
     if (state == net::HttpReader::State::bad) return give_back(mark);
-    if (state == net::HttpReader::State::whole) asked(mark, *way);
+    if (state == net::HttpReader::State::complete) asked(mark, *way);
 }
 
 void DiscoveryService::asked(std::uint32_t mark, Way& way) {
--- a/src/rig/discovery_service.h
+++ b/src/rig/discovery_service.h
@@ -21,7 +21,7 @@
     Time up_since = 0;
 };
 
-class DiscoveryService : net::User {
+class DiscoveryService : net::ConnectionHandler {
   public:
     // `delay`: how late a change is told; calls take their turns as `traits` say.
     DiscoveryService(Loop& loop, const tcp::endpoint& at, Time delay,
--- a/src/rig/host_service.cpp
+++ b/src/rig/host_service.cpp
@@ -34,14 +34,14 @@
 }
 
 HostService::~HostService() {
-    loop_.deadlines.drop(next_);
+    loop_.deadlines.cancel(next_);
     ways_.each([&](std::uint32_t, Way& way) { loop_.connections.close(way.connection); });
 }
 
 void HostService::die() {
     door_.close();
     host_.die();
-    loop_.deadlines.drop(next_);
+    loop_.deadlines.cancel(next_);
     pieces_.clear();
     std::vector<std::uint32_t> all;
     ways_.each([&](std::uint32_t mark, Way&) { all.push_back(mark); });
@@ -105,7 +105,7 @@
 }
 
 void HostService::look() {
-    loop_.deadlines.drop(next_);
+    loop_.deadlines.cancel(next_);
     const Time due = host_.due();
     if (due < 0) return;
     next_ = loop_.deadlines.after(std::max<Time>(0, due - loop_.deadlines.now()), [this] {
@@ -142,7 +142,7 @@
     const bool stays = way.reader.keep_alive();
     way.reader.next();
     if (!stays) return give_back(mark);
-    if (!loop_.connections.in(way.connection).empty()) loop_.connections.again(way.connection);
+    if (!loop_.connections.in(way.connection).empty()) loop_.connections.redeliver(way.connection);
 }
 
 void HostService::over(Way& way, bool ran) {
--- a/src/rig/host_service.h
+++ b/src/rig/host_service.h
@@ -15,7 +15,7 @@
 
 namespace dewweir::rig {
 
-class HostService : net::User {
+class HostService : net::ConnectionHandler {
   public:
     // What else is told of a message: which plan and track stand under a name. -1: unknown.
     struct Names {
--- a/src/rig/link.cpp
+++ b/src/rig/link.cpp
@@ -100,7 +100,7 @@
     Pair* const pair = pairs_.find(mark);
     if (!pair) return;
     End& to = there ? pair->server : pair->client;
-    loop_.deadlines.drop(to.next);
+    loop_.deadlines.cancel(to.next);
     if (silent(there)) return;
     while (!to.queue.empty() && to.queue.front().due <= loop_.deadlines.now()) {
         loop_.connections.send(to.connection, {to.queue.front().bytes});
@@ -122,7 +122,7 @@
     // What was for it is lost with it.
     for (const Piece& piece : gone.queue) counts_.dropped += piece.bytes.size();
     gone.queue.clear();
-    loop_.deadlines.drop(gone.next);
+    loop_.deadlines.cancel(gone.next);
     other.over = true;
     // Who leaves a silent link is gone at both ends at once: nobody would wait for the end to come through,
     // and an execution would count as out at a host long after its gateway has given it up.
@@ -134,11 +134,11 @@
     Pair* const pair = pairs_.find(mark);
     if (!pair) return;
     for (End* const end : {&pair->client, &pair->server}) {
-        loop_.deadlines.drop(end->next);
+        loop_.deadlines.cancel(end->next);
         for (const Piece& piece : end->queue) counts_.dropped += piece.bytes.size();
         if (!end->connection) continue;
         if (reset) loop_.connections.reset(end->connection);
-        else loop_.connections.finish(end->connection);
+        else loop_.connections.close_gracefully(end->connection);
     }
     pairs_.remove(mark);
 }
--- a/src/rig/link.h
+++ b/src/rig/link.h
@@ -30,7 +30,7 @@
     LinkCounts& operator+=(const LinkCounts& more);
 };
 
-class Link : net::User {
+class Link : net::ConnectionHandler {
   public:
     Link(Loop& loop, std::string name, const tcp::endpoint& to, std::uint64_t seed);
     ~Link() override;
--- a/src/rig/load.cpp
+++ b/src/rig/load.cpp
@@ -93,9 +93,9 @@
 }
 
 Load::~Load() {
-    loop_.deadlines.drop(next_send_);
+    loop_.deadlines.cancel(next_send_);
     ways_.each([&](std::uint32_t, Way& way) {
-        loop_.deadlines.drop(way.limit);
+        loop_.deadlines.cancel(way.limit);
         loop_.connections.close(way.connection);
     });
 }
@@ -107,7 +107,7 @@
 
 void Load::stop() {
     stopped_ = true;
-    loop_.deadlines.drop(next_send_);
+    loop_.deadlines.cancel(next_send_);
     next_ = arrivals_.size();
     tell_if_done();
 }
@@ -237,7 +237,7 @@
     }
     const auto state = way->reader.read(loop_.connections.in(connection));
     if (state == net::HttpReader::State::more) return;
-    if (state == net::HttpReader::State::whole) return answered(mark, *way);
+    if (state == net::HttpReader::State::complete) return answered(mark, *way);
     const net::Handle id = std::exchange(way->submission, 0);
     give_back(mark);
     again_or(id, 0, &PlanResult::written_off);
@@ -253,7 +253,7 @@
     const bool stays = plan_.keep_alive && way.reader.keep_alive();
     way.reader.next();
     way.used = true;
-    loop_.deadlines.drop(way.limit);
+    loop_.deadlines.cancel(way.limit);
     if (stays) idle_[way.gateway].push_back(mark);
     else give_back(mark);
     const Time took = loop_.deadlines.now() - s.intended;
@@ -336,7 +336,7 @@
     Way* const way = ways_.find(mark);
     if (!way) return;
     std::erase(idle_[way->gateway], mark);
-    loop_.deadlines.drop(way->limit);
+    loop_.deadlines.cancel(way->limit);
     if (way->connection) loop_.connections.close(way->connection);
     ways_.remove(mark);
 }
--- a/src/rig/load.h
+++ b/src/rig/load.h
@@ -70,7 +70,7 @@
     Latencies latencies;            // of what was delivered, from the intended moment
 };
 
-class Load : net::User {
+class Load : net::ConnectionHandler {
   public:
     // Throws errors::BadCall naming what is out of range. `done` is told once the last submission has
     // ended.
--- a/src/rig/loop.cpp
+++ b/src/rig/loop.cpp
@@ -10,7 +10,7 @@
 
 void Loop::run() {
     while (!io.stopped()) {
-        deadlines.run_passed();
+        deadlines.run_due();
         // Due at once or not: sockets have their turn between any two rounds of deadlines.
         const auto next = deadlines.next();
         if (next > std::chrono::steady_clock::now()) io.run_one_until(next);
@@ -81,7 +81,7 @@
 void Door::accept() {
     acceptor_.async_accept([this](const std::error_code& fault, tcp::socket socket) {
         if (!acceptor_.is_open() || fault == asio::error::operation_aborted) return;
-        loop_.deadlines.turn();
+        loop_.deadlines.update_now();
         if (!fault) {
             std::error_code gone;
             const tcp::endpoint from = socket.remote_endpoint(gone);
--- a/src/rig/script.cpp
+++ b/src/rig/script.cpp
@@ -43,7 +43,7 @@
     const std::string& file;
     const std::vector<std::string>& there;
     std::map<std::string, std::vector<std::string>> sets{};
-    std::vector<errors::Complaint> complaints{};
+    std::vector<errors::FileProblem> complaints{};
 
     void complain(const Values& at, const std::string& key, const std::string& what) {
         complaints.push_back({file, at.line(key), key, what});
--- a/src/rig/trial.cpp
+++ b/src/rig/trial.cpp
@@ -32,7 +32,7 @@
         build();
         if (rolling_) rolling_->start();
         gateways_.wait_until_ready(10 * a_second);
-        loop_.deadlines.turn();
+        loop_.deadlines.update_now();
         asio::signal_set ends(loop_.io, SIGINT, SIGTERM);
         ends.async_wait([this](const std::error_code& fault, int) {
             if (fault) return;
--- a/src/runtime/event_loop.cpp
+++ b/src/runtime/event_loop.cpp
@@ -22,7 +22,7 @@
 
 void EventLoop::run() {
     while (!io_.stopped()) {
-        deadlines_.run_passed();
+        deadlines_.run_due();
         const auto next = deadlines_.next();
         if (next > std::chrono::steady_clock::now()) {
             io_.run_one_until(next);
@@ -34,7 +34,7 @@
 
 void EventLoop::post(std::function<void()> what) {
     asio::post(io_, [this, what = std::move(what)] {
-        deadlines_.turn();
+        deadlines_.update_now();
         what();
     });
 }
@@ -49,7 +49,7 @@
 void EventLoop::wait_for_termination() {
     terminations_.async_wait([this](const std::error_code& fault, int) {
         if (fault) return;
-        deadlines_.turn();
+        deadlines_.update_now();
         terminate_();
         wait_for_termination();
     });
@@ -58,7 +58,7 @@
 void EventLoop::wait_for_reload() {
     reloads_.async_wait([this](const std::error_code& fault, int) {
         if (fault) return;
-        deadlines_.turn();
+        deadlines_.update_now();
         reload_();
         wait_for_reload();
     });
@@ -75,7 +75,7 @@
 }
 
 void Timer::cancel() {
-    if (pending_) loop_.deadlines().drop(key_);
+    if (pending_) loop_.deadlines().cancel(key_);
     pending_ = false;
 }
 
--- a/src/runtime/listener.cpp
+++ b/src/runtime/listener.cpp
@@ -31,7 +31,7 @@
 void Listener::accept() {
     acceptor_.async_accept([this](const std::error_code& fault, asio::ip::tcp::socket socket) {
         if (!acceptor_.is_open()) return;
-        loop_.deadlines().turn();
+        loop_.deadlines().update_now();
         if (fault) {
             loop_.deadlines().after(accept_pause, [this] { accept(); });
             return;
--- a/src/runtime/mailbox.cpp
+++ b/src/runtime/mailbox.cpp
@@ -29,7 +29,7 @@
 void Mailbox::wait() {
     wakeups_.async_wait(asio::posix::stream_descriptor::wait_read, [this](const std::error_code& fault) {
         if (fault) return;
-        loop_.deadlines().turn();
+        loop_.deadlines().update_now();
         run_all();
         wait();
     });
--- a/src/serve.h
+++ b/src/serve.h
@@ -19,12 +19,13 @@
 // What the sub-commands' program adds to the gateway, so that the platform's carries none of it.
 struct Extras {
     const OperatorFile& with;
-    net::LineForm json = nullptr;          // how lines are written where the file asks for JSON
+    net::LineFormat json = nullptr;        // how lines are written where the file asks for JSON
     std::string version, settings, label;  // what it is, told with its readiness; may be empty
     // Makes what counts, told the goals of the tracks.
-    std::function<std::unique_ptr<net::Tallies>(Time every, std::vector<Time> goals)> tallies{};
+    std::function<std::unique_ptr<net::ActivityObserver>(Time every, std::vector<Time> goals)> tallies{};
     // Makes the observer of the other gateways, where the file asks for it.
-    std::function<std::unique_ptr<net::PeerObserver>(const net::Part&, net::ReportReceiver&)> peer_observer{};
+    std::function<std::unique_ptr<net::PeerObserver>(const net::NodeContext&, net::ReportReceiver&)>
+        peer_observer{};
 };
 
 // `extras`: nothing on the platform. 0 after a clean end, else the exit code of the
--- a/src/transport/datagrams.cpp
+++ b/src/transport/datagrams.cpp
@@ -26,7 +26,7 @@
 void Datagrams::wait() {
     socket_.async_wait(asio::ip::udp::socket::wait_read, [this](const std::error_code& fault) {
         if (fault) return;
-        loop_.deadlines().turn();
+        loop_.deadlines().update_now();
         read_all();
         wait();
     });
--- a/src/transport/sessions.h
+++ b/src/transport/sessions.h
@@ -24,7 +24,7 @@
     virtual void session_closed(SessionId) = 0;
 };
 
-class Sessions : net::User {
+class Sessions : net::ConnectionHandler {
   public:
     explicit Sessions(runtime::EventLoop& loop);
 
--- a/tests/api/server_sockets.cpp
+++ b/tests/api/server_sockets.cpp
@@ -38,7 +38,7 @@
         const auto end = std::chrono::steady_clock::now() + patience;
         while (!reached()) {
             if (std::chrono::steady_clock::now() > end) return false;
-            loop.deadlines().run_passed();
+            loop.deadlines().run_due();
             loop.io().run_one_until(std::min(loop.deadlines().next(), end));
         }
         return true;
--- a/tests/control/instance_poller.cpp
+++ b/tests/control/instance_poller.cpp
@@ -39,7 +39,7 @@
     void until(const std::function<bool()>& reached) {
         const auto end = std::chrono::steady_clock::now() + patience;
         while (!reached() && std::chrono::steady_clock::now() < end) {
-            loop.deadlines().run_passed();
+            loop.deadlines().run_due();
             loop.io().run_one_until(std::min(loop.deadlines().next(), end));
         }
         REQUIRE(reached());
--- a/tests/control_plane/replica_disk.cpp
+++ b/tests/control_plane/replica_disk.cpp
@@ -45,8 +45,8 @@
         const auto end = std::chrono::steady_clock::now() + bound;
         while (!reached()) {
             if (std::chrono::steady_clock::now() > end) return false;
-            loop.deadlines().turn();
-            loop.deadlines().run_passed();
+            loop.deadlines().update_now();
+            loop.deadlines().run_due();
             loop.io().run_one_until(std::min(loop.deadlines().next(), end));
         }
         return true;
--- a/tests/fuzz/http_pieces.h
+++ b/tests/fuzz/http_pieces.h
@@ -30,7 +30,7 @@
         verdict.state = reader.read(ring);
     }
     verdict.fault = reader.fault();
-    if (verdict.state == net::HttpReader::State::whole) verdict.body = reader.body();
+    if (verdict.state == net::HttpReader::State::complete) verdict.body = reader.body();
     return verdict;
 }
 
--- a/tests/gateway_sockets/streams.cpp
+++ b/tests/gateway_sockets/streams.cpp
@@ -88,7 +88,7 @@
 TEST_CASE("A connection that is finishing sends all it has to a slow peer") {
     // Longer than a peer is given to close once it has everything.
     constexpr dewweir::Time longer_than_linger = 11000;
-    class Silent : public dewweir::net::User {
+    class Silent : public dewweir::net::ConnectionHandler {
         void received(dewweir::net::Handle, std::uint32_t) override {}
         void ended(dewweir::net::Handle, std::uint32_t) override {}
     };
@@ -103,7 +103,7 @@
     auto& connections = world.loop().connections();
     const dewweir::net::Handle handle = connections.adopt(std::move(near), user, 0);
     connections.send(handle, {pattern(piece)});
-    connections.finish(handle);
+    connections.close_gracefully(handle);
     bool lingered = false;
     world.loop().deadlines().after(longer_than_linger, [&] { lingered = true; });
     REQUIRE(world.until([&] { return lingered; }));
@@ -111,7 +111,7 @@
     world.client_ends(slow);
     CHECK_FALSE(slow.was_reset);
     CHECK(slow.received_bytes == piece);
-    REQUIRE(world.until([&] { return connections.finishing() == 0; }));
+    REQUIRE(world.until([&] { return connections.closing() == 0; }));
 }
 
 TEST_CASE("A client that does not read stops its host") {
--- a/tests/gateway_sockets/world.h
+++ b/tests/gateway_sockets/world.h
@@ -33,7 +33,7 @@
         const auto end = std::chrono::steady_clock::now() + patience;
         while (!reached()) {
             if (std::chrono::steady_clock::now() > end) return false;
-            loop_.deadlines().run_passed();
+            loop_.deadlines().run_due();
             if (reached()) return true;
             loop_.io().run_one_until(std::min(loop_.deadlines().next(), end));
         }
@@ -45,7 +45,7 @@
         const auto end = std::chrono::steady_clock::now() + patience;
         while (!reached()) {
             REQUIRE(std::chrono::steady_clock::now() < end);
-            loop_.deadlines().run_passed();
+            loop_.deadlines().run_due();
             if (!reached()) loop_.io().poll_one();
         }
     }
@@ -54,14 +54,14 @@
     void end_list_lease() {
         const runtime::Time end = loop_.now();
         proxy_.set_list_valid_until(end);
-        while (loop_.now() <= end) loop_.deadlines().turn();
+        while (loop_.now() <= end) loop_.deadlines().update_now();
     }
 
     // Goes on until no socket of this process has anything to do.
     void settle() {
         constexpr int quiet_turns = 200;
         for (int quiet = 0; quiet < quiet_turns; ++quiet) {
-            loop_.deadlines().run_passed();
+            loop_.deadlines().run_due();
             if (loop_.io().poll() > 0) quiet = 0;
         }
     }
--- a/tests/http/feed.h
+++ b/tests/http/feed.h
@@ -42,9 +42,9 @@
         reading.state = reader.read(ring);
     }
     reading.fault = reader.fault();
-    if (reading.state != HttpReader::State::whole) return reading;
+    if (reading.state != HttpReader::State::complete) return reading;
     reading.target = reader.target();
-    reader.pass_on(reading.fields, {});
+    reader.append_forwarded_fields(reading.fields, {});
     reading.body = reader.body();
     reading.chunked = reader.chunked();
     reading.keep_alive = reader.keep_alive();
--- a/tests/http/reader.cpp
+++ b/tests/http/reader.cpp
@@ -47,7 +47,7 @@
         const std::string message = chunked ? chunked_head + random_chunks(random, body) : sized;
         const std::string behind = "GET /b/ HTTP/1.1\r\n\r\n";
         const Reading at_once = read_request(message + behind);
-        REQUIRE(at_once.state == State::whole);
+        REQUIRE(at_once.state == State::complete);
         CHECK(at_once.body == body);
         CHECK(at_once.chunked == chunked);
         CHECK(at_once.unread == behind.size());
@@ -57,7 +57,7 @@
 
 TEST_CASE("space around a field's value isn't part of it") {
     const Reading reading = read_request("GET / HTTP/1.1\r\nHost: \t shop  \t\r\nX-Empty:   \r\n\r\n");
-    REQUIRE(reading.state == State::whole);
+    REQUIRE(reading.state == State::complete);
     CHECK(reading.fields == "Host: shop\r\nX-Empty: \r\n");
 }
 
@@ -65,7 +65,7 @@
     const std::string text = chunked_head + "0\r\nAuthorization: Bearer other\r\nHost: other\r\n\r\n";
     for (const std::size_t step : {text.size(), std::size_t{1}}) {
         const Reading reading = read_request(text, step);
-        REQUIRE(reading.state == State::whole);
+        REQUIRE(reading.state == State::complete);
         CHECK(reading.fields == "Host: shop\r\n");
     }
 }
@@ -77,13 +77,13 @@
 }
 
 TEST_CASE("a body over the limit is refused: by its length at once, in chunks when it has come") {
-    const HttpLimits limits = limits_of(most_head, 10);
+    const HttpLimits limits = limits_of(default_max_head_bytes, 10);
     const Reading sized = read_request("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n", 1, limits);
     CHECK(sized.fault == 413);
     CHECK(read_request("POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\n0123456789", 1, limits).state ==
-          State::whole);
+          State::complete);
     CHECK(read_request(chunked_head + "6\r\n012345\r\n4\r\n6789\r\n0\r\n\r\n", 1, limits).state ==
-          State::whole);
+          State::complete);
     for (const std::size_t step : {1, 500}) {
         CHECK(read_request(chunked_head + "6\r\n012345\r\n5\r\n6789A\r\n", step, limits).fault == 413);
     }
@@ -99,7 +99,7 @@
         CHECK(read_request(chunked_head + "0\r\nLate: " + filler + "\r\n\r\n", step, limits).fault == 431);
     }
     CHECK(read_request("GET / HTTP/1.1\r\nName: " + std::string(150, 'a') + "\r\n\r\n", 1, limits).state ==
-          State::whole);
+          State::complete);
 }
 
 TEST_CASE("reading stops at the window and goes on when the body has been taken") {
@@ -128,7 +128,7 @@
         state = reader.read(ring);
     }
     taken += reader.body();
-    CHECK(state == State::whole);
+    CHECK(state == State::complete);
     CHECK(taken == std::string(640, 'c'));
 }
 
@@ -140,7 +140,7 @@
     ring.append(chunked_head + "1\r\na\r\n0\r\n\r\nGET /4 HTTP/1.1\r\nConnection: close\r\n\r\n");
     std::vector<std::string> targets;
     while (!ring.empty()) {
-        REQUIRE(reader.read(ring) == State::whole);
+        REQUIRE(reader.read(ring) == State::complete);
         targets.push_back(reader.target() + " " + reader.body());
         CHECK(reader.keep_alive() == !ring.empty());
         reader.next();
--- a/tests/model/counts.cpp
+++ b/tests/model/counts.cpp
@@ -17,17 +17,17 @@
     for (int n = 0; n < 3; ++n) counts.request_received(1.5);
     counts.attempt_started(true, 1.5);
     counts.attempt_started(false, 1.5);
-    counts.counted(2), counts.counted(-0.5);
+    counts.counter_called(2), counts.counter_called(-0.5);
     counts.served(0, 10000);
     counts.served(1, 501);
-    counts.refused(), counts.failed(), counts.client_gone();
+    counts.refused(), counts.failed(), counts.client_disconnected();
     DecisionCounts decided{};
     decided[static_cast<std::size_t>(Decision::over_quota_locally)] = 2;
     decided[static_cast<std::size_t>(Decision::expired_in_queue)] = 4;
     counts.report_decisions(decided);
     std::ostringstream out;
     Log log(out, -1, Level::info, 100, json_line);
-    counts.tell(log, 17000000050000);
+    counts.report(log, 17000000050000);
     const auto told = nlohmann::json::parse(out.str());
     const std::pair<const char*, int> fields[] = {
         {"tries", 3},          {"in_goal", 1},          {"late", 1},
@@ -40,12 +40,12 @@
     CHECK(told["end_ms"] == 1700000005000);
     CHECK(told["memory_kb"] > 100);
     CHECK(told["times"] == nlohmann::json({time_bucket(501), 1, time_bucket(10000), 1}));
-    counts.tell(log, 17000000100000 - 50000);  // nothing done: no repeat of a line, or it would be missing
-    counts.tell(log, 17000000100000 - 40000);
+    counts.report(log, 17000000100000 - 50000);  // nothing done: no repeat of a line, or it would be missing
+    counts.report(log, 17000000100000 - 40000);
     CHECK(out.str().find("log.repeated") == std::string::npos);
     CHECK(std::ranges::count(out.str(), '\n') == 3);
     out.str("");
-    counts.tell(log, 17000000100000);
+    counts.report(log, 17000000100000);
     const auto next = nlohmann::json::parse(out.str());
     CHECK(next["tries"] == 0);
     CHECK(next["units_counted"] == 0);
--- a/tests/model/errors.cpp
+++ b/tests/model/errors.cpp
@@ -17,7 +17,7 @@
                   "docs/errors.md: its table is not `dewweir explain --errors`");
     std::set<std::string> names;
     for (std::size_t n = 0; n < static_cast<std::size_t>(errors::Kind::count); ++n) {
-        const errors::Entry& one = errors::entry_of(static_cast<errors::Kind>(n));
+        const errors::KindInfo& one = errors::entry_of(static_cast<errors::Kind>(n));
         CHECK(names.insert(one.name).second);
         CHECK(one.exit_code >= 1);
         CHECK(one.exit_code <= 125);
@@ -38,10 +38,10 @@
     CHECK(kind(ENOENT) == errors::Kind::cannot_start);
     const errors::Held held("the journal", "process 7 holds it");
     CHECK(held.exit_code() == 16);
-    CHECK(errors::told(held).find("dewweir: the journal: process 7 holds it\ndewweir: what to do: wait") ==
-          0);
+    CHECK(errors::describe(held).find(
+              "dewweir: the journal: process 7 holds it\ndewweir: what to do: wait") == 0);
     CHECK(errors::Held("a", "b", "call Ana").to_do() == "call Ana");
     CHECK(errors::exit_code_of(std::runtime_error("odd")) == 1);
     const errors::BadFile two({{"f.toml", 2, "a", "bad"}, {"f.toml", 5, "b", "worse"}});
-    CHECK(errors::told(two).find("f.toml:2: a: bad\nf.toml:5: b: worse\n") != std::string::npos);
+    CHECK(errors::describe(two).find("f.toml:2: a: bad\nf.toml:5: b: worse\n") != std::string::npos);
 }
--- a/tests/model/links.cpp
+++ b/tests/model/links.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // A server that says back what it hears, behind a link.
-struct Echo : net::User {
+struct Echo : net::ConnectionHandler {
     Loop loop{256};
     net::Slots<net::Handle> ways;
     Door door{loop, loopback(), [this](tcp::socket socket) {
@@ -38,8 +38,8 @@
         const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(most_ms);
         while (!what()) {
             if (std::chrono::steady_clock::now() > end) return false;
-            loop.deadlines.turn();
-            loop.deadlines.run_passed();
+            loop.deadlines.update_now();
+            loop.deadlines.run_due();
             loop.io.run_one_for(std::chrono::milliseconds(2));
             loop.io.restart();
         }
--- a/tests/model/models.cpp
+++ b/tests/model/models.cpp
@@ -27,9 +27,9 @@
     return {.cores = 2, .work = 100, .scatter = 0, .line = 3, .handshake = 0, .warms_in = 0};
 }
 
-std::string all_of(const std::vector<errors::Complaint>& list) {
+std::string all_of(const std::vector<errors::FileProblem>& list) {
     std::string all;
-    for (const errors::Complaint& one : list) all += one.text() + "\n";
+    for (const errors::FileProblem& one : list) all += one.text() + "\n";
     return all;
 }
 template <class Read> std::string complaints(Read read) {
@@ -277,9 +277,9 @@
     std::stringstream out;
     {
         net::Log log(out, -1, net::Level::info, 100, net::json_line);
-        log.tell(net::Event::host_named, "host 3 is a\n\xff\"b", {{"host", 3}, {"id", "a\n\xff\"b"}});
-        log.tell(net::Event::client_refused, "below the level", {{"status", 400}});
-        for (int n = 0; n < 4; ++n) log.tell(net::Event::breaker_open, "open");
+        log.record(net::Event::host_named, "host 3 is a\n\xff\"b", {{"host", 3}, {"id", "a\n\xff\"b"}});
+        log.record(net::Event::client_refused, "below the level", {{"status", 400}});
+        for (int n = 0; n < 4; ++n) log.record(net::Event::breaker_open, "open");
     }
     std::vector<nlohmann::json> lines;
     for (std::string line; std::getline(out, line);)
@@ -298,11 +298,11 @@
 TEST_CASE("the log as text is a line an event, and past its allowance lines are counted") {
     std::stringstream out;
     net::Log log(out, -1, net::Level::info, 5);
-    for (int n = 0; n < 9; ++n) log.tell(net::Event::host_named, "host " + std::to_string(n));
+    for (int n = 0; n < 9; ++n) log.record(net::Event::host_named, "host " + std::to_string(n));
     CHECK(has(out.str(), " info host 4\n"));
     CHECK_FALSE(has(out.str(), "host 5"));
     usleep(1050000);
-    log.tell(net::Event::gateway_ended, "over");
+    log.record(net::Event::gateway_ended, "over");
     CHECK(has(out.str(), " warning 4 lines left out\n"));
     CHECK(has(out.str(), " info over\n"));
 }
@@ -315,12 +315,12 @@
     net::Log log(out, ends[1], net::Level::info, 100000);
     const std::string text(900, 'x');
     for (int n = 0; n < 300; ++n)
-        log.tell(net::Event::host_named, std::to_string(n) + text);  // would block here
+        log.record(net::Event::host_named, std::to_string(n) + text);  // would block here
     char bytes[65536];
     std::size_t read_all = 0;
     for (ssize_t n; (n = read(ends[0], bytes, sizeof bytes)) > 0;) read_all += static_cast<std::size_t>(n);
     CHECK(read_all <= 65536);
-    log.tell(net::Event::gateway_ended, "over");
+    log.record(net::Event::gateway_ended, "over");
     const ssize_t n = read(ends[0], bytes, sizeof bytes);
     REQUIRE(n > 0);
     const std::string last(bytes, static_cast<std::size_t>(n));
@@ -334,8 +334,8 @@
     std::ofstream full("/dev/full");
     REQUIRE(full.good());
     net::Log log(full, -1, net::Level::info);
-    log.tell(net::Event::gateway_ready, "to nowhere");
-    log.tell(net::Event::gateway_ended, "nor this");
+    log.record(net::Event::gateway_ready, "to nowhere");
+    log.record(net::Event::gateway_ended, "nor this");
     // Space again: another device behind the same stream.
     full.clear();
     full.close();
@@ -343,7 +343,7 @@
     const int fd = mkstemp(name);
     REQUIRE(fd >= 0);
     full.open(name);
-    log.tell(net::Event::breaker_open, "heard");
+    log.record(net::Event::breaker_open, "heard");
     std::stringstream text;
     text << std::ifstream(name).rdbuf();
     CHECK(has(text.str(), " warning 2 lines left out\n"));
