--- a/src/errors/bad_file.cpp
+++ b/src/errors/bad_file.cpp
@@ -6,7 +6,7 @@
 namespace dewweir::errors {
 namespace {
 
-// How many letters must be put in, left out or changed to make one word of the other.
+// Levenshtein distance.
 std::size_t edit_distance(const std::string& a, const std::string& b) {
     std::vector<std::size_t> row(b.size() + 1);
     std::iota(row.begin(), row.end(), 0);
@@ -28,7 +28,10 @@
     const std::string* best = nullptr;
     std::size_t least = std::max<std::size_t>(2, name.size() / 3) + 1;
     for (const std::string& one : known)
-        if (const std::size_t far = edit_distance(name, one); far < least) least = far, best = &one;
+        if (const std::size_t far = edit_distance(name, one); far < least) {
+            least = far;
+            best = &one;
+        }
     return best ? "; did you mean " + *best + "?" : "";
 }
 
--- a/src/errors/bad_file.h
+++ b/src/errors/bad_file.h
@@ -1,5 +1,5 @@
-// What is wrong with a file that a person wrote, said so that it can be mended: where, what was found, what
-// is allowed. Every reader of such files lists all it finds before it gives up.
+// Errors in a file that a person wrote: where, what was found, and what is allowed. Every reader of such
+// files reports all errors at once.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 struct FileProblem {
     std::string file;
-    int line = 0;  // from 1; 0: none can be named
+    int line = 0;  // from 1; 0 if unknown
     std::string key, what;
 
     std::string text() const {
@@ -37,8 +37,7 @@
     }
 };
 
-// The one of `known` that `name` was most likely meant to be, as `; did you mean X?`; empty where none is
-// near.
+// `; did you mean X?` for the closest name in `known`; empty if none is close.
 std::string did_you_mean(const std::string& name, const std::vector<std::string>& known);
 
 }  // namespace dewweir::errors
--- a/src/errors/errors.h
+++ b/src/errors/errors.h
@@ -1,7 +1,7 @@
-// What can go wrong at the program's edges, as types: one for each kind that is handled differently. Each
-// error carries what happened, to what, and what an operator can do; each kind has a name, an exit code and a
-// meaning that stand in one table, of which the docs page is made. Texts are for people: nothing may tell
-// errors apart by them.
+// Typed errors, one type for each kind of failure that is handled differently. Each error says what
+// happened, to what, and what an operator can do. Each kind has a name, an exit code and a meaning in one
+// table, from which the documentation page is generated. Texts are for people: code distinguishes errors by
+// type only.
 #pragma once
 
 #include <cstddef>
@@ -31,7 +31,7 @@
     const char* name;  // stable: people and scripts search for it
     int exit_code;     // from 1 to 125
     const char* meaning;
-    const char* to_do;  // where an error brings nothing closer
+    const char* to_do;  // default advice, for errors without their own
 };
 
 const KindInfo& entry_of(Kind kind);
@@ -49,7 +49,7 @@
     using std::runtime_error::what;
 
   protected:
-    // `to_do` empty: what the table says.
+    // An empty `to_do` means the advice of the table.
     Error(Kind kind, std::string subject, std::string happened, std::string to_do = {});
 
   private:
@@ -73,24 +73,24 @@
 using Held = Of<Kind::held>;
 using Refused = Of<Kind::refused>;
 
-// A setting by its name; `missing`, or there and unreadable.
+// A wrong setting by its name; `missing` if absent, else unreadable.
 struct BadSetting : Of<Kind::bad_setting> {
     BadSetting(const std::string& name, const std::string& happened, bool missing_ = false)
         : Of(name, happened), missing(missing_) {}
     bool missing;
 };
 
-// Whether this errno says that no room is left: disk, descriptors, memory, or a limit on them.
+// Whether this errno means that a resource is exhausted: disk, file descriptors, memory, or a limit on them.
 bool means_no_room(int errno_was);
 std::string text_of(int errno_was);
 
-// What a call to the system has refused, as the type that it is: no room left, or else an `Otherwise`.
+// Throws OutOfRoom if a system call failed for lack of a resource, otherwise `Otherwise`.
 template <class Otherwise> [[noreturn]] void throw_of_system(int errno_was, const std::string& subject) {
     if (means_no_room(errno_was)) throw OutOfRoom(subject, text_of(errno_was));
     throw Otherwise(subject, text_of(errno_was));
 }
 
-// What an edge prints for any exception, what to do in a line of its own; its exit code. `where` comes first.
+// Message for any exception, with the advice on its own line; `where` is put first. Its exit code.
 std::string describe(const std::exception& fault, const std::string& where = {});
 int exit_code_of(const std::exception& fault);
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,5 @@
-// The program: without arguments the gateway, as the platform starts it. With arguments it becomes the tools'
-// program beside it, so that the gateway carries none of their code: linked in, that made it a sixth larger
-// at rest.
+// Entry point: without arguments runs the gateway. With arguments it executes the tools program next to it,
+// which keeps the tools' code out of the gateway: linked in, it made the idle process a sixth larger.
 #include <limits.h>
 #include <unistd.h>
 
--- a/src/net/check.cpp
+++ b/src/net/check.cpp
@@ -13,11 +13,11 @@
 
 using nlohmann::json;
 
-// Where each key of a JSON text stands: its path with list places, `known.members.0.id`, and its line from 1.
+// Line number, from 1, of each key of a JSON text, by path with list indices such as `known.members.0.id`.
 class Lines {
   public:
     explicit Lines(const std::string& text) : text_(text) { value(""); }
-    // Of the key, or of the nearest there is above it.
+    // Line of the key or of its nearest ancestor; 0 if none.
     int of(std::string path) const {
         for (;;) {
             if (const auto found = lines_.find(path); found != lines_.end()) return found->second;
@@ -58,8 +58,14 @@
         for (std::size_t n = 0;; ++n) {
             space();
             if (at_ >= text_.size()) return;
-            if (text_[at_] == closes) return ++at_, static_cast<void>(0);
-            if (text_[at_] == ',') ++at_, space();
+            if (text_[at_] == closes) {
+                ++at_;
+                return;
+            }
+            if (text_[at_] == ',') {
+                ++at_;
+                space();
+            }
             std::string name = std::to_string(n);
             const int line = line_;
             if (opens == '{') {
@@ -79,7 +85,7 @@
     std::map<std::string, int> lines_;
 };
 
-// Acts on nobody: a Decisions object is made for what it says of its settings.
+// Does nothing: the Decisions object is created only to validate its settings.
 struct Nobody : Gateway {
     void start_attempt(std::uint32_t, std::uint32_t, Time) override {}
     void refuse(std::uint32_t, Time) override {}
@@ -93,8 +99,8 @@
     void report_decisions(const DecisionCounts&) override {}
 };
 
-// What is missing or unreadable among the settings, one after the other: each is put right before the next is
-// looked for.
+// Missing or unreadable settings. The decision module reports the first one only, so each is corrected before
+// the next attempt.
 std::vector<errors::BadSetting> setting_faults(Settings settings) {
     std::vector<errors::BadSetting> all;
     Nobody nobody;
--- a/src/net/check.h
+++ b/src/net/check.h
@@ -1,6 +1,6 @@
-// Looks a platform configuration over without starting anything: lists every fault at once, each with its
-// line. It must never accept what the gateway would refuse at its start, nor refuse what that would accept:
-// it reads as the gateway reads, and asks a decision module that acts on nobody.
+// Validates a gateway configuration without starting anything and lists every error with its line. It
+// accepts and refuses exactly what the gateway does, because it uses the same parser and a decision module
+// that acts on nothing.
 #pragma once
 
 #include <string>
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr Time tenths_per_second = 10000;
-// New connections are told to come for 0.4 s after SIGTERM; a margin on top.
+// The load balancer in front may open new connections for 0.4 s after SIGTERM; a margin is added.
 constexpr Time accept_time_after_stop = 6000;
 constexpr Time quiet_time = tenths_per_second / 4;
-// A connection with nothing open may go after 2 s; whoever sends no whole message is owed an end within 3 s.
+// An idle connection may be closed after 2 s; a client that sends no complete message must be disconnected
+// within 3 s.
 constexpr Time idle_timeout = 22 * tenths_per_second / 10, message_timeout = 24 * tenths_per_second / 10;
-constexpr Time answer_read_timeout = 10 * tenths_per_second;  // for one answer
+constexpr Time answer_read_timeout = 10 * tenths_per_second;  // to read one response
 
 const char* reason(int status) {
     switch (status) {
@@ -47,7 +48,8 @@
     return at == names.end() ? -1 : static_cast<int>(at - names.begin());
 }
 
-// units=2,spread=3,first=1: each once, the set within the gateways that there are.
+// Parses X-Metering, for example units=2,spread=3,first=1. Each key must occur once, and spread and first
+// must be in range for the number of gateways.
 bool read_metering(std::string_view text, const Configuration& configuration, double& units, int& spread) {
     bool has_units = false, has_spread = false, has_first = false;
     int first = 0;
@@ -85,8 +87,9 @@
     acceptor_.async_wait(tcp::acceptor::wait_read, [this](const std::error_code& ended) {
         if (ended || !acceptor_.is_open()) return;
         deadlines_.update_now();
-        // A quarter of the descriptors stays for the other side. There one that has stood idle for longest
-        // goes for the one that waits; while none is idle, whoever gets an answer is let go.
+        // A quarter of the descriptors is reserved for the upstream side. At that limit the longest idle
+        // client is closed to make room for the new one; while none is idle, connections close after their
+        // next response.
         short_of_sockets_ = !connections_.has_room(0.25);
         if (short_of_sockets_) close_longest_idle();
         if (!connections_.has_room(0.25)) return retry_accept_later();
@@ -97,7 +100,8 @@
             return accept();
         }
         if (fault != asio::error::would_block)
-            log_.record(Event::clients_not_accepted, "clients: cannot accept: " + fault.message(),
+            log_.record(Event::clients_not_accepted,
+                        "clients: cannot accept a connection: " + fault.message(),
                         {{"why", fault.message()}});
         close_longest_idle();
         retry_accept_later();
@@ -125,28 +129,28 @@
     client.deadline = deadlines_.after(from_now, [this, mark] { deadline_passed(mark); });
 }
 
-// Silent since it was opened or answered, slow to send a message, or slow to read its answer.
+// The client was idle for too long, too slow to send a message, or too slow to read its response.
 void Clients::deadline_passed(Handle mark) {
     Client& client = *clients_.find(mark);
     client.deadline = {};
     if (connections_.unsent_bytes(client.connection)) return close_after_answer(mark, client);
     if (!client.reader.begun()) {
         if (connections_.is_quiet(client.connection)) return close_idle(mark);
-        return set_deadline(mark, client, quiet_time);  // just come: its turn is next
+        return set_deadline(mark, client, quiet_time);  // data has just arrived and is read next
     }
     client.closing = true;
     answer_text(client, 408, "the message did not end in time\n");
     close_after_answer(mark, client);
 }
 
-// A message may be on its way to a connection just opened or just answered; one that has been quiet_time for
-// a while can go.
+// A request may be in transit on a connection that was just opened or answered, so a connection counts as
+// idle only after `quiet_time`.
 bool Clients::is_idle(Client& client) {
     return !client.busy && !client.reader.begun() && deadlines_.now() - client.idle_since >= quiet_time &&
            !connections_.unsent_bytes(client.connection) && connections_.is_quiet(client.connection);
 }
 
-// The client idle for longest goes, those that have never sent anything first.
+// Closes the longest idle client; clients that never sent a message go first.
 void Clients::close_longest_idle() {
     Handle oldest = 0;
     std::pair<bool, Time> since;
@@ -159,7 +163,7 @@
     if (oldest) close_idle(oldest);
 }
 
-// Nothing has come and nothing is to go: there is no answer to wait for.
+// Closes at once: nothing was received and nothing is left to send.
 void Clients::close_idle(Handle mark) {
     Client& client = *clients_.find(mark);
     connections_.close(client.connection);
@@ -179,11 +183,11 @@
 
 void Clients::received(Handle connection, std::uint32_t mark) {
     Client* client = clients_.find(mark);
-    // One request at a time; what comes early waits in the ring.
+    // One request at a time; pipelined requests wait in the ring.
     if (!client || client->busy || connections_.unsent_bytes(connection)) return;
     const HttpReader::State state = client->reader.read(connections_.in(connection));
     if (state == HttpReader::State::more) {
-        // The first message's time began with the connection.
+        // The deadline of the first message started when the connection was accepted.
         if (client->reader.begun() && client->has_sent_message && !client->message_timed)
             set_deadline(mark, *client, message_timeout);
         client->message_timed |= client->reader.begun();
@@ -227,7 +231,7 @@
     }
     reader.next();
     client.busy = true;
-    // The answer may come within this call; the client's record may be gone after it.
+    // The handler may answer within this call, which may remove the client.
     const Handle request = handler_.request_received(mark, std::move(received));
     Client* const remaining = clients_.find(mark);
     if (!request && remaining) answer(mark, 503, {}, "no room for another submission\n");
@@ -291,13 +295,13 @@
     await_next_request(mark, *client);
 }
 
-// Its message is answered: it may read that answer, stand idle for a while, or have sent its next one
+// After a response: the client may still be reading it, stay idle for a while, or have sent its next request
 // already.
 void Clients::await_next_request(Handle mark, Client& client) {
     client.idle_since = deadlines_.now();
     const bool unsent = connections_.unsent_bytes(client.connection);
-    // Clients hold a third of the descriptors at most. Those that ask once and stay would leave the others
-    // none: from half of that on, whoever stands idle goes soon.
+    // Clients hold at most a third of the descriptors. Idle keep-alive connections would starve new clients,
+    // so above half of that share idle connections are closed sooner.
     const bool many = 6 * active_clients_ > configuration_.max_sockets;
     set_deadline(mark, client, unsent ? answer_read_timeout : many ? quiet_time : idle_timeout);
     if (!unsent && !connections_.in(client.connection).empty()) connections_.redeliver(client.connection);
@@ -320,9 +324,11 @@
     if (stopping_) return;
     stopping_ = true;
     done_ = std::move(done);
-    log_.record(Event::gateway_stopping, "stopping: not ready any more; what was taken is answered");
+    log_.record(Event::gateway_stopping,
+                "stopping: readiness fails from now on; accepted requests are still answered");
     deadlines_.after(accept_time_after_stop, [this] {
-        // What the system has accepted for us counts as taken: it is fetched before the door closes.
+        // Connections that the kernel has already accepted are served: the backlog is emptied before the
+        // listener closes.
         for (std::error_code fault; !fault;) {
             tcp::socket socket = acceptor_.accept(fault);
             if (!fault) add_client(std::move(socket));
@@ -333,7 +339,7 @@
     });
 }
 
-// Clients may remaining use a connection that they have; those that do are let go with their answer.
+// Clients may still send requests on open connections; these close after their response.
 void Clients::close_all_idle() {
     std::vector<Handle> idle_clients;
     clients_.each([&](Handle mark, Client& client) {
--- a/src/net/configuration.cpp
+++ b/src/net/configuration.cpp
@@ -52,7 +52,8 @@
     return parse_address(key, text_of(from, key));
 }
 
-// The settings, path by path; a list of plain values is one value, a list of objects is counted.
+// Flattens the settings into dotted paths. A list of scalars becomes one comma-separated value; a list of
+// objects gets a `.count` and one path per element.
 void flatten(Settings& settings, const json& at, const std::string& path) {
     const auto below = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
     if (at.is_object()) {
@@ -121,7 +122,7 @@
         else if (phase == "terminating") entry.state = HostState::draining;
         else if (phase == "terminated") entry.state = HostState::removed;
         else throw BadSetting("phase", "unknown, `" + phase + "`");
-        // What is gone needs no address.
+        // A terminated host needs no address.
         if (entry.state != HostState::removed || one.contains("host_port"))
             entry.address = address_at(one, "host_port");
         const std::string zone = one.contains("locality") ? text_of(one, "locality") : "";
@@ -134,7 +135,7 @@
     return listing;
 }
 
-// Each step on its own: its fault ends the reading, or is put on a list that is asked for.
+// Runs the parsing steps one by one. An error propagates, or is collected if a list is given.
 struct StepRunner {
     std::vector<BadSetting>* faults;
     template <class Do> void operator()(Do read) const {
--- a/src/net/connections.cpp
+++ b/src/net/connections.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr std::size_t min_read_bytes = 4096,
-                      max_buffered_bytes = 16384;   // of what has come and waits in the ring
-constexpr Time close_timeout = 10000;               // a second for a peer to close
-constexpr Time stall_timeout = 300000;              // half a minute in which a peer takes nothing
-constexpr std::size_t max_discarded_bytes = 65536;  // of what it still sends meanwhile
+                      max_buffered_bytes = 16384;   // read granularity, and input held in a ring
+constexpr Time close_timeout = 10000;               // 1 s for the peer to close
+constexpr Time stall_timeout = 300000;              // 30 s without the peer reading anything
+constexpr std::size_t max_discarded_bytes = 65536;  // of input that arrives while closing
 
 }  // namespace
 
@@ -71,8 +71,8 @@
     return c.in.empty() && (fault == asio::error::would_block || fault == asio::error::try_again);
 }
 
-// Waits first and reads then: what has been read is told in the same turn, so `quiet` misses nothing, and a
-// connection that waits holds no buffer.
+// Waits for readability and reads then: bytes are delivered in the iteration that reads them, so `is_quiet`
+// misses nothing, and an idle connection holds no buffer.
 void Connections::read(Handle handle) {
     Connection* const c = connections_.find(handle);
     if (!c) return;
@@ -103,7 +103,7 @@
     if (fault && fault != asio::error::would_block && fault != asio::error::try_again) return ended(handle);
     c->in.commit(n);
     if (c->closing) {
-        // Whoever goes on at full speed is left to the system, and costs no time here.
+        // A peer that keeps sending is no longer read; TCP flow control stops it.
         c->in.consume(c->in.size());
         if ((c->discarded += n) > max_discarded_bytes) return;
     } else if (n) {
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr Time min_reconnect_delay = 250,
-               max_reconnect_delay = 10000;  // before the connection is opened again
-constexpr Time ping_after = 30000;           // then a ping, well within the 10 s of the counter
-constexpr Time silence_timeouts = 4;         // limits of a call
+               max_reconnect_delay = 10000;  // backoff before reconnecting
+constexpr Time ping_after = 30000;           // 3 s; the counter closes connections that are idle for 10 s
+constexpr Time silence_timeouts = 4;  // call timeouts without any reply before the connection is replaced
 constexpr std::size_t max_line_bytes = 256;
 
 }  // namespace
@@ -36,8 +36,8 @@
     replace_connection();
 }
 
-// A new connection at once. Calls not yet written go with it; the others keep their answers and their order
-// on the old one, until the last is told.
+// Connects to the current address at once. An established connection with calls in flight stays open until
+// the last of them has ended; otherwise it is closed, and calls not yet written move to the new connection.
 void Counter::replace_connection() {
     deadlines_.cancel(reconnect_timer_);
     reconnect_delay_ = 0;
@@ -60,7 +60,7 @@
     for (Call& call : link.calls) connections_.send(link.connection, {std::exchange(call.line, {})});
 }
 
-// What was written may have been added; what was not never will be.
+// Calls that were written may have been counted (`written_outcome`); the others were not (connect_failed).
 void Counter::connection_lost(std::uint32_t mark, const char* why, AttemptOutcome written_outcome) {
     log_.record(Event::counter_lost, std::string("counter: ") + why, {{"why", why}});
     Link& link = links_.at(mark);
@@ -72,7 +72,7 @@
     if (mark != mark_) {
         links_.erase(mark);
     } else if (written_outcome == AttemptOutcome::broken && reconnect_delay_ == 0) {
-        // It spoke well before, and what it says now is not slow: there is nothing to wait for.
+        // The counter replied properly before and replied in time now: reconnect at once.
         reconnect_delay_ = min_reconnect_delay;
         open();
     } else {
@@ -87,7 +87,7 @@
 }
 
 void Counter::ended(Handle connection, std::uint32_t mark) {
-    // A line that has not left whole was never a call.
+    // A line that was not completely sent was never a call.
     std::size_t unsent = connections_.unsent_bytes(connection);
     std::deque<Call>& calls = links_.at(mark).calls;
     for (auto call = calls.rbegin(); call != calls.rend() && unsent; ++call) {
@@ -114,7 +114,7 @@
     const std::size_t size = line.size();
     link.calls.push_back({name, std::move(line), size, deadlines_.now(), ping, false, {}});
     Call& call = link.calls.back();
-    // While the connection is lost, the end comes in the next turn.
+    // Without a connection the call fails in the next loop iteration.
     const Time limit = link.connection ? configuration_.counter_timeout : 0;
     call.deadline = deadlines_.after(limit, [this, mark = mark_, number] { call_timed_out(mark, number); });
     if (link.connected) connections_.send(link.connection, {std::exchange(call.line, {})});
@@ -123,27 +123,30 @@
 void Counter::call_timed_out(std::uint32_t mark, std::uint64_t number) {
     Link& link = links_.at(mark);
     if (number < link.first_number || number - link.first_number >= link.calls.size()) return;
-    // What was written waits for its answer, so that the order holds; on a connection that has been left,
-    // nothing more is asked.
+    // A written call stays in the queue until its reply comes, to keep the order; replaced connections take
+    // no new calls.
     if (Call& call = link.calls[number - link.first_number]; call.line.empty()) {
-        // One that says nothing to anybody has gone silent, as a slow counter never does for long.
+        // No reply to any call for several timeouts: the connection is dead rather than slow.
         const Time silence = deadlines_.now() - std::max(link.last_reply_at, link.calls.front().started_at);
         if (mark == mark_ && silence >= silence_timeouts * configuration_.counter_timeout)
             return connection_lost(mark, "silent");
         const bool last = mark != mark_ && number - link.first_number + 1 == link.calls.size();
         finish_call(call, AttemptOutcome::timeout);
-        if (last) connections_.close(link.connection), links_.erase(mark);
+        if (last) {
+            connections_.close(link.connection);
+            links_.erase(mark);
+        }
         return;
     }
-    // What was not is the first in line: nothing is written while there is no connection, and all have one
-    // limit.
+    // An unwritten call is at the front of the queue: nothing is written without a connection, and all calls
+    // have the same timeout.
     Call call = std::move(link.calls.front());
     link.calls.pop_front();
     ++link.first_number;
     finish_call(call, AttemptOutcome::connect_failed);
 }
 
-// Keeps an idle connection from being closed; a ping that gets no answer shows one that has gone silent.
+// Pings an idle connection so that the counter keeps it open; an unanswered ping reveals a dead connection.
 void Counter::keep_alive() {
     deadlines_.after(ping_after / 10, [this] { keep_alive(); });
     const Link& link = links_.at(mark_);
@@ -159,7 +162,7 @@
 }
 
 void Counter::received(Handle connection, std::uint32_t mark) {
-    // The link may be given up, or left, within an answer.
+    // Handling a reply may close or replace the link.
     for (auto link = links_.find(mark); link != links_.end() && link->second.connection == connection;
          link = links_.find(mark)) {
         Ring& in = connections_.in(connection);
@@ -196,14 +199,17 @@
     } else if (link.calls.front().ping && line == "pong") {
         outcome = AttemptOutcome::ok;
     }
-    // Nothing more that comes on this connection can be trusted.
+    // After an unreadable reply the matching by order is lost, so the connection is given up.
     if (outcome == AttemptOutcome::broken) return connection_lost(mark, "an unreadable answer", outcome);
     link.last_reply_at = deadlines_.now();
     reconnect_delay_ = 0;
     Call call = std::move(link.calls.front());
     link.calls.pop_front();
     ++link.first_number;
-    if (mark != mark_ && link.calls.empty()) connections_.close(link.connection), links_.erase(mark);
+    if (mark != mark_ && link.calls.empty()) {
+        connections_.close(link.connection);
+        links_.erase(mark);
+    }
     finish_call(call, outcome, total);
 }
 
--- a/src/net/counter.h
+++ b/src/net/counter.h
@@ -1,6 +1,7 @@
-// The counter service: owns the connection to it, with any that it has moved away from, and the calls that
-// are out, matched to their answers by order. Each call ends with exactly one `counted`, within the limit,
-// never from within the asking. It must never send a call again, nor one whose time has passed.
+// Client of the counter service: owns the current connection to it, older connections that still owe
+// replies, and the calls in flight, which are matched to replies by order. Every call ends with exactly one
+// CounterListener::counter_replied, within the call timeout and never from within `add`. A call is never
+// sent twice, and never sent after it has timed out.
 #pragma once
 
 #include <deque>
@@ -11,9 +12,11 @@
 
 namespace dewweir::net {
 
+// Receives the result of each call to the counter.
 class CounterListener {
   public:
     virtual ~CounterListener() = default;
+    // `total`: value of the counter after the call, in units; valid for AttemptOutcome::ok only.
     virtual void counter_replied(std::uint64_t name, AttemptOutcome outcome, double total, Time took) = 0;
 };
 
@@ -21,9 +24,10 @@
   public:
     Counter(const NodeContext& context, CounterListener& listener);
 
+    // Adds `amount` units, negative to give back, to the counter `name`, which expires `keep_for` later.
     void add(std::uint64_t name, double amount, Time keep_for);
-    // The counter is elsewhere now: calls go there at once, those out on the old connection keep their
-    // answers.
+    // Changes the counter's address: new calls go there at once, calls in flight keep their replies on the
+    // old connection.
     void set_address(const tcp::endpoint& address);
 
     void opened(Handle, std::uint32_t mark, bool connected) override;
@@ -33,18 +37,20 @@
   private:
     struct Call {
         std::uint64_t name;
-        std::string line;  // empty once it is written
-        std::size_t size;  // of the line
+        std::string line;  // request line; empty once it is written
+        std::size_t size;  // of the request line, in bytes
         Time started_at;
-        bool ping, finished;
+        bool ping;      // keep-alive, not reported
+        bool finished;  // reported or a ping that ended
         Deadlines::Key deadline;
     };
-    struct Link {  // one connection, and the calls started_at on it
+    // A connection and the calls made on it.
+    struct Link {
         Handle connection = 0;
         bool connected = false;
         Time last_reply_at = 0;
         std::deque<Call> calls{};
-        std::uint64_t first_number = 0;  // number of the call at the front
+        std::uint64_t first_number = 0;  // sequence number of the call at the front
     };
 
     void open();
@@ -59,8 +65,8 @@
 
     CounterListener& listener_;
     tcp::endpoint address_;
-    std::map<std::uint32_t, Link> links_;  // by mark; only the last takes calls, the others wait for answers
-    std::uint32_t mark_ = 0;               // of the last
+    std::map<std::uint32_t, Link> links_;  // by mark; the last takes new calls, the others wait for replies
+    std::uint32_t mark_ = 0;               // of the current link
     Time reconnect_delay_ = 0;
     Deadlines::Key reconnect_timer_{};
 };
--- a/src/net/counts_event.cpp
+++ b/src/net/counts_event.cpp
@@ -29,8 +29,9 @@
 }  // namespace
 
 int time_bucket(Time took) {
-    // Whole numbers alone, since it is counted for each delivery: the doubling, then how many of its
-    // quarters. The roots of 2 to 32 bits are closer than any two times under the last bucket are apart.
+    // Integer arithmetic, since this runs for every served request: the power of two, then the number of
+    // quarters passed. The roots of 2 with 32 fractional bits are precise enough for all times below the last
+    // bucket.
     constexpr std::uint64_t quarters[] = {5107605667, 6074000999, 7223245205};
     const auto time = std::min(static_cast<std::uint64_t>(std::max<Time>(1, took)), std::uint64_t{1} << 22);
     const int doublings = std::bit_width(time) - 1;
@@ -49,15 +50,18 @@
 }
 
 void CountsEvent::report(Log& log, Time now) {
-    std::vector<std::int64_t> times;  // bucket and count in turn, of those that have any
+    std::vector<std::int64_t> times;  // alternating bucket index and count, of non-empty buckets
     for (std::size_t n = 0; n < latencies_.size(); ++n)
-        if (latencies_[n]) times.push_back(static_cast<std::int64_t>(n)), times.push_back(latencies_[n]);
+        if (latencies_[n]) {
+            times.push_back(static_cast<std::int64_t>(n));
+            times.push_back(latencies_[n]);
+        }
     const auto of = [this](Decision one) { return decisions_[static_cast<std::size_t>(one)]; };
     const std::int64_t quota = of(Decision::over_quota_by_counter) + of(Decision::over_quota_locally) +
                                of(Decision::still_over_quota);
     const std::int64_t line = of(Decision::queue_too_long) + of(Decision::expired_in_queue);
     log.record(Event::counts,
-               // Its end makes each line another: equal ones would be told as repeats.
+               // The end time makes each line distinct; equal lines would be collapsed as repeats.
                "counts until " + std::to_string(now / 10) + ": tries " + std::to_string(requests_) +
                    ", in goal " + std::to_string(within_goal_) + ", late " + std::to_string(over_goal_) +
                    ", bounced " + std::to_string(refused_) + ", written off " + std::to_string(failed_),
--- a/src/net/counts_event.h
+++ b/src/net/counts_event.h
@@ -1,6 +1,6 @@
-// The counts event: what a gateway did in each stretch of a few seconds, for `dewweir rollout` and whoever
-// else compares gateways. Stretches end at the same moments everywhere, multiples of their length since 1970.
-// Owns the counts; it must never hold a request.
+// The `counts` log event: what a gateway did in each interval of a few seconds, for `dewweir rollout` and
+// other tools that compare gateways. Intervals end at multiples of their length since 1970, the same moments
+// on every gateway.
 #pragma once
 
 #include <array>
@@ -11,22 +11,30 @@
 
 namespace dewweir::net {
 
-// Times in buckets of equal ratio, four to a doubling, from 0.1 ms: bucket b holds from 2^(b/4) to
-// 2^((b+1)/4) tenths of a millisecond, the last one all above.
+// Latency histogram with four buckets per doubling: bucket b covers 2^(b/4) to 2^((b+1)/4) tenths of a
+// millisecond; the last one is unbounded.
 constexpr int time_buckets = 88;
 int time_bucket(Time took);
 
 class CountsEvent : public ActivityObserver {
   public:
-    // `goals`: of the route classes, by number.
+    // `goals`: latency goal of each route class, by its number.
     CountsEvent(Time interval, std::vector<Time> goals)
         : interval_(interval), latency_goals_(std::move(goals)) {}
 
-    void request_received(double units) override { ++requests_, units_requested_ += units; }
+    void request_received(double units) override {
+        ++requests_;
+        units_requested_ += units;
+    }
     void attempt_started(bool first, double units) override {
-        ++attempts_, first_attempts_ += first, units_sent_ += first ? units : 0;
+        ++attempts_;
+        first_attempts_ += first;
+        units_sent_ += first ? units : 0;
+    }
+    void counter_called(double units) override {
+        ++counter_calls_;
+        units_counted_ += units;
     }
-    void counter_called(double units) override { ++counter_calls_, units_counted_ += units; }
     void served(int route_class, Time took) override;
     void refused() override { ++refused_; }
     void failed() override { ++failed_; }
--- a/src/net/deadlines.cpp
+++ b/src/net/deadlines.cpp
@@ -36,7 +36,7 @@
 
 void Deadlines::run_due() {
     update_now();
-    // What is set in here for at once waits for the next turn, so that no deadline can hold the loop.
+    // Timers set by these callbacks wait for the next round, so that no callback can starve the loop.
     const std::uint64_t last_before = last_id_;
     for (auto at = deadlines_.begin(); at != deadlines_.end() && at->first.first <= now_;) {
         if (at->first.second > last_before) {
--- a/src/net/deadlines.h
+++ b/src/net/deadlines.h
@@ -1,5 +1,5 @@
-// The loop's clock and all its deadlines, in one ordered structure under one timer. Owns both; it must never
-// let time go back, nor call what a dropped deadline held.
+// Clock and timers of an event loop, kept in one ordered map so that the loop needs a single wake-up time.
+// The clock never goes back, and a cancelled callback is never called.
 #pragma once
 
 #include <chrono>
@@ -14,23 +14,24 @@
 
 class Deadlines {
   public:
-    using Key = std::pair<Time, std::uint64_t>;  // {0, 0} is none
+    using Key = std::pair<Time, std::uint64_t>;  // due time and sequence number; {0, 0} is none
 
-    // `slack`: how late the loop may be woken for them, so that many fall due with something else.
+    // `slack`: how late a timer may fire, so that several timers share one wake-up.
     explicit Deadlines(Time slack);
 
-    // Tenths of a millisecond since 1970, read once a turn: the wall clock at the start, the steady one
-    // since.
+    // Tenths of a millisecond since 1970, as of the last `update_now`: wall clock at start plus the steady
+    // clock since.
     Time now() const { return now_; }
     void update_now() { now_ = read_clock(); }
 
+    // Calls `what` `from_now` later, at the earliest in the next `run_due`.
     Key after(Time from_now, std::function<void()> what);
-    // Takes a deadline out, whether or not it has passed, and forgets its key.
+    // Cancels a timer, due or not, and clears its key. No effect for a key that has fired.
     void cancel(Key& key);
 
-    // Calls what has come due.
+    // Calls the callbacks that are due.
     void run_due();
-    // When the loop must be woken for the next one; an hour off where there is none.
+    // When the loop must wake up for the next timer; in an hour if there is none.
     std::chrono::steady_clock::time_point next() const;
 
   private:
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -5,7 +5,7 @@
 namespace dewweir::net {
 namespace {
 
-// An empty line is due every 2 s, and what there is to tell counts as told 6 s later.
+// Discovery sends an empty line every 2 s, and changes must be known 6 s after they happen.
 constexpr Time silence_timeout = 45000;
 constexpr std::size_t max_line_bytes = 8 << 20;
 
@@ -27,7 +27,7 @@
 void Discovery::set_address(const tcp::endpoint& address) {
     if (address == address_) return;
     address_ = address;
-    // Revisions of two sources need not compare: all is asked for anew.
+    // Revisions of two sources are not comparable, so everything is requested again.
     resync();
 }
 
@@ -57,7 +57,7 @@
 
 void Discovery::received(Handle connection, std::uint32_t) {
     restart_silence_timer();
-    // Longer than a ring: the reader keeps the body, the ring empties with each read.
+    // Lists may exceed the ring: the reader accumulates the body and each read empties the ring.
     const HttpReader::State state = reader_->read(connections_.in(connection));
     if (reader_->head_read() && reader_->status() != 200)
         return watch_lost("answers " + std::to_string(reader_->status()));
@@ -89,8 +89,9 @@
     if (state != HttpReader::State::more) watch_lost("the watch has ended");
 }
 
-// Either said late, by a source that will catch up, or by one that has lost what it kept and counts anew: its
-// lists would be left out for good. A whole one is the sign; time tells the two apart.
+// An older list comes either from a source that lags and will catch up, or from one that lost its state and
+// restarted its revisions, whose lists would be ignored for ever. A complete list starts a timer that tells
+// the two apart.
 void Discovery::handle_older_list(const HostList& listing) {
     log_.record(Event::discovery_older,
                 "discovery: a list of revision " + std::to_string(listing.revision) + ", older than " +
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -1,6 +1,6 @@
-// The watch on discovery: owns its connection and the revision reached. It must never wait behind anything
-// else, and takes no list older than the one it has, unless the source has
-// been behind for so long that its revisions must have begun anew.
+// Watch on the discovery service: owns the connection to it and the last revision received. Lists older than
+// that revision are ignored, unless the source stays behind for so long that its revisions must have been
+// reset; then the client resyncs.
 #pragma once
 
 #include <memory>
@@ -10,10 +10,12 @@
 
 namespace dewweir::net {
 
+// Receives host lists.
 class HostListListener {
   public:
     virtual ~HostListListener() = default;
     virtual void host_list_received(const HostList& listing) = 0;
+    // The watch has ended; it is not restarted until `Discovery::watch` is called.
     virtual void watch_failed() = 0;
 };
 
@@ -21,8 +23,8 @@
   public:
     Discovery(const NodeContext& context, HostListListener& listener);
 
-    void watch();  // nothing where the watch is up already
-    // Another address now: watched at once, and its first word is taken whatever its revision.
+    void watch();  // starts the watch from the last revision; no effect while one is active
+    // Changes the address and resyncs at once: the first list is accepted whatever its revision.
     void set_address(const tcp::endpoint& address);
 
     void opened(Handle, std::uint32_t, bool connected) override;
@@ -42,8 +44,9 @@
     std::unique_ptr<HttpReader> reader_;
     std::uint64_t revision_;
     Deadlines::Key silence_timer_{};
-    Deadlines::Key resync_timer_{};  // since a whole list was older than ours, and none has been as new
-    bool behind_ = false;            // the last word was older
+    Deadlines::Key
+        resync_timer_{};   // runs since a complete list was older than `revision_`, until a current one comes
+    bool behind_ = false;  // the last list was older than `revision_`
 };
 
 }  // namespace dewweir::net
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -1,6 +1,6 @@
-// What the log can tell: each event once, with its stable name, level, fields and meaning. The on-call page's
-// table is made of it. It must never lose or rename an event without a line in the changelog: people search
-// for the names.
+// The events that a gateway logs, each with its stable name, level, fields and meaning; the table of the on-
+// call page is generated from them. Removing or renaming an event needs a changelog entry, because people
+// search for the names.
 #pragma once
 
 #include <cstddef>
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -8,7 +8,7 @@
 namespace dewweir::net {
 namespace {
 
-// One that comes back under its id within a minute is the host it was; later it is a new one.
+// A host that returns under its id within a minute keeps its number; after that it gets a new one.
 constexpr Time removed_host_retention = 600000;
 constexpr int max_interim_responses = 8;
 
@@ -28,7 +28,7 @@
         log_.record(Event::host_named, "host " + std::to_string(number) + " is " + entry.id,
                     {{"host", number}, {"id", entry.id}});
     }
-    // At another address, or started again: what stands idle leads nowhere.
+    // The host moved or restarted: its idle connections are stale.
     if (entry.state != HostState::removed &&
         (host.address != entry.address || host.up_since != entry.up_since)) {
         host.address = entry.address;
@@ -67,7 +67,7 @@
 void Hosts::schedule_removal(std::uint32_t number, Host& host) {
     host.removal = deadlines_.after(removed_host_retention, [this, number] {
         Host& removed = hosts_.at(number);
-        if (removed.upstreams) return schedule_removal(number, removed);  // an attempt is still out there
+        if (removed.upstreams) return schedule_removal(number, removed);  // an attempt is still in flight
         numbers_.erase(removed.id);
         hosts_.erase(number);
     });
@@ -78,7 +78,7 @@
         close_upstream(upstream, *upstreams_.find(upstream));
 }
 
-// Nothing more is written there: idle connections go back, and what waits for its connection is not sent.
+// Closes the idle connections and ends attempts that still wait for their connection as not_sent.
 void Hosts::stop_sending(std::uint32_t host) {
     close_idle_upstreams(hosts_.at(host));
     std::vector<Handle> waiting;
@@ -94,7 +94,7 @@
 }
 
 Handle Hosts::open_upstream(std::uint32_t host) {
-    // A little stays for the counter and for discovery.
+    // A tenth of the sockets is reserved for the counter and discovery.
     if (!connections_.has_room(0.1)) close_longest_idle();
     if (!connections_.has_room(0.1)) return 0;
     const Handle mark = upstreams_.add(host);
@@ -102,12 +102,15 @@
     UpstreamConnection& upstream = *upstreams_.find(mark);
     upstream.connection =
         connections_.open(hosts_.at(host).address, *this, mark, configuration_.connect_timeout);
-    if (upstream.connection) return ++hosts_.at(host).upstreams, mark;
+    if (upstream.connection) {
+        ++hosts_.at(host).upstreams;
+        return mark;
+    }
     upstreams_.remove(mark);
     return 0;
 }
 
-// The one used last that is fit for more: an answer may be followed by what belongs to none, or by its end.
+// Returns the most recently used idle connection without unread bytes or an end of stream; others are closed.
 Handle Hosts::idle_upstream(Host& host) {
     while (!host.idle.empty()) {
         const Handle mark = host.idle.back();
@@ -119,14 +122,17 @@
     return 0;
 }
 
-// Of all hosts, the connection that has stood idle for longest.
+// Closes the longest idle connection of all hosts.
 void Hosts::close_longest_idle() {
     Handle oldest = 0;
     Deadlines::Key first{};
     for (const auto& [number, host] : hosts_) {
         if (host.idle.empty()) continue;
         const UpstreamConnection& upstream = *upstreams_.find(host.idle.front());
-        if (!oldest || upstream.deadline < first) oldest = host.idle.front(), first = upstream.deadline;
+        if (!oldest || upstream.deadline < first) {
+            oldest = host.idle.front();
+            first = upstream.deadline;
+        }
     }
     if (oldest) close_upstream(oldest, *upstreams_.find(oldest));
 }
@@ -140,9 +146,9 @@
         if (!mark) mark = open_upstream(host);
     }
     if (!mark) {
-        // Drained a moment ago, or all our connections are out: no fault of the host's.
+        // The host was just drained or the connection table is full: not a failure of the host.
         const std::string id = to != hosts_.end() ? to->second.id : std::to_string(host);
-        log_.record(Event::host_no_connection, "hosts: no connection for an execution on " + id,
+        log_.record(Event::host_no_connection, "hosts: no connection for an attempt on host " + id,
                     {{"id", id}});
         post_attempt_ended(request, host, AttemptOutcome::not_sent, 0);
         return 0;
@@ -155,7 +161,7 @@
         if (late) finish_attempt(mark, *late, AttemptOutcome::timeout);
     });
     char limit[48];
-    // Seconds with four decimals: whole tenths of a millisecond.
+    // Seconds with four decimals, the resolution of Time.
     const auto end = std::to_chars(limit, limit + sizeof limit, static_cast<double>(give_up_after) / 10000,
                                    std::chars_format::fixed, 4);
     const std::string_view seconds(limit, static_cast<std::size_t>(end.ptr - limit));
@@ -195,7 +201,7 @@
 void Hosts::received(Handle connection, std::uint32_t mark) {
     UpstreamConnection* const upstream = upstreams_.find(mark);
     if (!upstream) return;
-    if (!upstream->request) return close_upstream(mark, *upstream);  // it sends unasked
+    if (!upstream->request) return close_upstream(mark, *upstream);  // unsolicited data
     HttpReader& reader = upstream->reader;
     HttpReader::State state = reader.read(connections_.in(connection));
     while (state == HttpReader::State::complete && reader.status() < 200) {  // an interim response
@@ -211,8 +217,7 @@
     const AttemptOutcome outcome = reader.status() == 200 ? AttemptOutcome::ok
                                    : refused              ? AttemptOutcome::overloaded
                                                           : AttemptOutcome::error;
-    // Before its last byte was written the host cannot have begun it: whatever this is, it answers
-    // nothing.
+    // The host cannot have executed a request that was not completely sent, so this is not a response to it.
     if (outcome != AttemptOutcome::overloaded && connections_.unsent_bytes(connection))
         return finish_attempt(mark, *upstream, AttemptOutcome::connect_failed);
     HostResponse answer;
@@ -227,22 +232,22 @@
     UpstreamConnection* const upstream = upstreams_.find(mark);
     if (!upstream) return;
     if (!upstream->request) return close_upstream(mark, *upstream);
-    // Before its last byte was written the host cannot have begun it.
+    // The host cannot have executed a request that was not completely sent.
     finish_attempt(
         mark, *upstream,
         connections_.unsent_bytes(connection) ? AttemptOutcome::connect_failed : AttemptOutcome::broken);
 }
 
-// Ends what is out on an upstream connection. The connection is kept if its answer came whole and the
-// connection is fit for more; it is so before the end is told, since the next attempt is often asked for in
-// that moment, and there.
+// Ends the attempt on a connection. The connection is returned to the pool first if it is reusable, because
+// the listener often starts the next attempt on the same host within its callback.
 void Hosts::finish_attempt(Handle mark, UpstreamConnection& upstream, AttemptOutcome outcome,
                            const HostResponse& answer) {
     const Handle request = std::exchange(upstream.request, 0);
     const std::uint32_t host = upstream.host;
     const Time elapsed = deadlines_.now() - upstream.started_at;
     deadlines_.cancel(upstream.deadline);
-    // Bytes after the answer, or an answer before all was sent, leave the connection unfit for more.
+    // Extra bytes after the response, or a response before the whole request was sent, make the connection
+    // unusable.
     const bool reusable = outcome != AttemptOutcome::broken && upstream.reader.complete() &&
                           upstream.reader.keep_alive() && connections_.in(upstream.connection).empty() &&
                           connections_.unsent_bytes(upstream.connection) == 0 &&
@@ -256,7 +261,8 @@
 
 void Hosts::make_idle(Handle mark, UpstreamConnection& upstream) {
     hosts_.at(upstream.host).idle.push_back(mark);
-    // Well before the host's own time, so that nothing is written to a connection that it is closing.
+    // Well before the host's own idle timeout, so that no request is written to a connection that the host is
+    // closing.
     upstream.deadline = deadlines_.after(configuration_.upstream_idle_close * 3 / 4, [this, mark] {
         UpstreamConnection* const old = upstreams_.find(mark);
         if (old && !old->request) close_upstream(mark, *old);
--- a/src/net/hosts.h
+++ b/src/net/hosts.h
@@ -1,6 +1,6 @@
-// The hosts' side: owns what is known of each host's address, its connections, and the attempts that are
-// out on them. Each attempt asked for ends with exactly one call of `attempt_over`, never from within the
-// asking. It must never send anything twice, nor pick a host.
+// The upstream side of a gateway: owns the known hosts, their connections and the attempts in flight. Every
+// attempt that is started ends with exactly one call of AttemptListener::attempt_ended, never from within
+// start_attempt. Hosts never retries and never chooses a host.
 #pragma once
 
 #include <map>
@@ -13,33 +13,39 @@
 
 namespace dewweir::net {
 
-struct HostResponse {  // what a host has served: the fields that pass through, and the body
+// The forwarded header fields and the body of a host's 200 response.
+struct HostResponse {
     std::string fields, body;
 };
 
+// Receives the outcome of each attempt.
 class AttemptListener {
   public:
     virtual ~AttemptListener() = default;
+    // `elapsed`: from the start of the attempt. `answer` is filled for AttemptOutcome::ok only.
     virtual void attempt_ended(Handle request, std::uint32_t host, AttemptOutcome outcome, Time elapsed,
                                const HostResponse& answer) = 0;
 };
 
+// Connection pools, one per host, with at most one attempt per connection.
 class Hosts : public ConnectionHandler, NodeContext {
   public:
     Hosts(const NodeContext& context, AttemptListener& listener);
 
-    // The host's number, which no other host gets while the program runs; 0 for one that was never here and
-    // is removed.
+    // Applies an entry of the host list and returns the host's number, which is unique for the life of the
+    // process; 0 for the removal of an unknown host.
     std::uint32_t update(const HostEntry& entry);
-    // A whole list names those that stay: the others are taken as removed.
+    // Marks every host that a complete list does not name as removed.
     void remove_unlisted(const std::vector<HostEntry>& entries);
-    // By number its id in the list, empty for none; by id its number, 0 for none.
+    // Id of a host number, empty if unknown; number of a host id, 0 if unknown.
     std::string id_of(std::uint32_t host) const;
     std::uint32_t number_of(const std::string& id) const;
 
-    // Gives what `call_off` takes; 0 when nothing can be sent (its end is told all the same).
+    // Sends a request to a host with `give_up_after` as its deadline. Returns the handle for `cancel`, or 0
+    // when nothing can be sent; the listener gets not_sent in that case.
     Handle start_attempt(Handle request, std::uint32_t host, std::string_view head, std::string_view body,
                          Time give_up_after);
+    // Closes the connection of an attempt in flight; its outcome is reported as cancelled.
     void cancel(Handle attempt);
 
     void opened(Handle, std::uint32_t mark, bool connected) override;
@@ -52,18 +58,19 @@
         tcp::endpoint address{};
         HostState state = HostState::removed;
         Time up_since = 0;
-        int upstreams = 0;           // all of them, idle or not
-        Deadlines::Key removal{};    // then it is forgotten
-        std::vector<Handle> idle{};  // ways, the one used last at the end
+        int upstreams = 0;           // open connections, idle or busy
+        Deadlines::Key removal{};    // when a removed host is erased
+        std::vector<Handle> idle{};  // idle connections, most recently used last
     };
-    struct UpstreamConnection {  // one connection to a host, and the attempt that is out on it
+    // A connection to a host and the attempt in flight on it.
+    struct UpstreamConnection {
         std::uint32_t host;
         HttpReader reader{HTTP_RESPONSE};
         Handle connection = 0, request = 0;
         bool connected = false;
-        int interim_responses = 0;  // answers ahead of the one
+        int interim_responses = 0;  // 1xx responses received for this attempt
         Time started_at = 0;
-        std::string unsent_request;  // what is to be written once it is up
+        std::string unsent_request;  // request to send once connected
         Deadlines::Key deadline{};
 
         explicit UpstreamConnection(std::uint32_t to) : host(to) {}
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -8,14 +8,14 @@
 namespace dewweir::net {
 namespace {
 
-// Fields between two neighbours, which end here; the length is written anew.
+// Hop-by-hop fields, which are not forwarded; Content-Length is rewritten.
 constexpr std::string_view hop_by_hop[] = {
     "Connection",     "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "TE", "Trailer", "Upgrade",
     "Content-Length", "Expect"};
-// Fields for all on the way, which no Connection field may name (RFC 9110, section 7.6.1).
+// End-to-end fields that a Connection field must not turn into hop-by-hop ones (RFC 9110, section 7.6.1).
 constexpr std::string_view end_to_end[] = {"Host", "X-Attempt-Id", "X-Server-Seal", "X-Not-Executed"};
 
-// Whether a list of words, separated by commas, holds this one.
+// Whether a comma-separated list contains `wanted`, ignoring case.
 bool list_contains(std::string_view list, std::string_view wanted) {
     while (!list.empty()) {
         const std::size_t comma = std::min(list.find(','), list.size());
@@ -64,8 +64,9 @@
     c.on_headers_complete = [](http_parser* p) {
         HttpReader& r = reader_of(p);
         r.head_read_ = true;
-        p->upgrade = 0;  // offers of other protocols are not taken up
-        // A request's body comes with its length: what names a coding too may hide another request.
+        p->upgrade = 0;  // protocol upgrades are not supported
+        // Without chunked_requests a body needs a Content-Length: a request that also names a transfer coding
+        // may smuggle another one.
         if (p->type == HTTP_REQUEST && !r.limits_.chunked_requests && r.has_field("Transfer-Encoding"))
             return r.fail(411);
         if (p->type == HTTP_REQUEST && !r.framing_is_unambiguous()) return r.fail(400);
@@ -111,7 +112,7 @@
     return target_.size() + fields_.size() + trailer_size_ > limits_.head ? fail(431) : 0;
 }
 
-// Whether a request tells in one way only where its body ends, as RFC 9112, section 6 has it.
+// Whether exactly one framing determines the end of the body (RFC 9112, section 6).
 bool HttpReader::framing_is_unambiguous() const {
     const auto count = [this](std::string_view wanted) {
         return std::count_if(index_.begin(), index_.end(),
@@ -138,7 +139,7 @@
 void HttpReader::parse(std::string_view part, Ring& ring) {
     const bool in_lines = parser_.type == HTTP_REQUEST && (!head_read_ || chunked_);
     if (in_lines) part = part.substr(0, framing_.check(part));
-    if (part.empty()) {  // wrong, or ended for one of the two only
+    if (part.empty()) {  // malformed, or only one of framing check and parser sees the end of the message
         fault_ = 400;
         return;
     }
@@ -156,7 +157,7 @@
     trailer_size_ = 0;
     framing_.begin_head();
     for (std::string* const part : {&target_, &fields_, &body_}) {
-        if (part->capacity() > 2048) *part = {};  // what is idle holds little
+        if (part->capacity() > 2048) *part = {};  // idle readers keep little memory
         part->clear();
     }
     index_.clear();
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,5 +1,5 @@
-// Reads HTTP/1.1 messages off a ring by http-parser, one at a time. Owns the message it is reading; it must
-// never take a byte past that message's end, and never holds more than its limits.
+// Incremental HTTP/1.1 message reader on top of http-parser: reads one message at a time from a ring buffer.
+// Owns the message being read, never consumes bytes past its end and never holds more than its limits.
 #pragma once
 
 #include <http_parser.h>
@@ -18,10 +18,11 @@
 
 constexpr std::size_t default_max_body_bytes = 65536, default_max_head_bytes = 16384;
 
-bool equal_ignoring_case(std::string_view a,
-                         std::string_view b);  // as HTTP compares names: case does not count
+// ASCII case-insensitive comparison, as for HTTP field names.
+bool equal_ignoring_case(std::string_view a, std::string_view b);
 
-// In bytes. `window`: how much of a body may wait to be taken before reading stops.
+// Limits in bytes. `window`: reading pauses while this much of the body has not been taken.
+// `chunked_requests`: whether requests with a chunked body are accepted, else they fail with 411.
 struct HttpLimits {
     std::size_t head = default_max_head_bytes;
     std::uint64_t body = default_max_body_bytes;
@@ -37,30 +38,32 @@
     HttpReader(http_parser_type kind, const HttpLimits& limits);
     HttpReader(const HttpReader&) = delete;
 
-    // Reads on; after `whole`, `next` must come before the next read.
+    // Consumes bytes up to the end of the message. After State::complete, `next` must be called before the
+    // next `read`.
     State read(Ring& ring);
+    // Resets the reader for the next message.
     void next();
 
     // True from the first byte of a message until `next`.
     bool begun() const { return begun_; }
     bool head_read() const { return head_read_; }
     bool complete() const { return complete_; }
-    // The message's body comes in chunks; else its length is told, 0 where it has none.
+    // Whether the body is chunked; otherwise `body_length` is its length, 0 without a body.
     bool chunked() const { return chunked_; }
     std::uint64_t body_length() const { return body_length_; }
-    // The length that the head states; nothing where it states none, or the body comes in chunks.
+    // Content-Length of the message; empty without the field or for a chunked body.
     std::optional<std::uint64_t> stated_length() const {
         if (chunked_ || !(parser_.flags & F_CONTENTLENGTH)) return std::nullopt;
         return body_length_;
     }
-    // An answer whose body only ends with the connection: that it is whole can't be told.
+    // Whether this is a response whose body ends with the connection, so that truncation cannot be detected.
     bool ends_with_connection() const;
-    // Of a body read so far, taken or not.
+    // Body bytes read so far, including those already taken.
     std::uint64_t body_read() const { return body_read_; }
-    // The answer to be read next belongs to a HEAD request and has no body.
+    // Announces that the next response has no body, as after a HEAD request.
     void expect_no_body() { no_body_ = true; }
     void set_limits(const HttpLimits& limits) { limits_ = limits; }
-    // What a bad message is answered with.
+    // Status code to answer a bad message with; 0 if none was found.
     int fault() const { return fault_; }
     unsigned status() const { return parser_.status_code; }
     unsigned method() const { return parser_.method; }
@@ -68,9 +71,9 @@
     const std::string& target() const { return target_; }
     std::string& body() { return body_; }
     bool has_field(std::string_view name) const;
-    // The value of a field, empty where there is none, or more than one.
+    // Value of a header field; empty if it is absent or occurs more than once.
     std::string_view field(std::string_view name) const;
-    // Appends the fields that pass through a gateway, excluded those it is told to leave out.
+    // Appends the end-to-end header fields except `excluded`, each ended by CR LF.
     void append_forwarded_fields(std::string& to, std::initializer_list<std::string_view> excluded) const;
 
   private:
@@ -79,11 +82,15 @@
     };
     static HttpReader& reader_of(http_parser* parser) { return *static_cast<HttpReader*>(parser->data); }
     int append_to_head(std::string& what, const char* at, std::size_t n);
-    // CounterListener bytes of a trailer, which is no part of the head and is not kept.
+    // Counts trailer bytes towards the head limit; trailers are discarded.
     int count_trailer(std::size_t n);
-    int fail(int status) { return fault_ = status, 1; }
+    // Records the status to answer with; the result makes http-parser stop.
+    int fail(int status) {
+        fault_ = status;
+        return 1;
+    }
     bool framing_is_unambiguous() const;
-    // Whether a field of this name concerns this connection alone.
+    // Whether a field of this name is hop-by-hop (RFC 9110, section 7.6.1).
     bool is_hop_by_hop(std::string_view wanted) const;
     void parse(std::string_view part, Ring& ring);
     std::string_view name(const Field& f) const { return {&fields_[f.name], f.name_size}; }
--- a/src/net/json_line.cpp
+++ b/src/net/json_line.cpp
@@ -16,7 +16,7 @@
             },
             field.value);
     all["text"] = text;
-    // A peer's bytes need not be text: they are shown as such, never as a broken line.
+    // Bytes from peers may be invalid UTF-8; they are replaced, so that the line stays valid.
     return all.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/src/net/json_line.h
+++ b/src/net/json_line.h
@@ -1,5 +1,5 @@
-// The log's lines as JSON: an object a line with time, level, event, the event's fields and its text. On only
-// by the operator file. It must never write a line that is no JSON, whatever a peer has sent.
+// JSON log format: one object per line with time, level, event, the fields of the event and its text.
+// Enabled by the operator file. Every line is valid JSON, whatever bytes a peer has sent.
 #pragma once
 
 #include "log.h"
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -15,15 +15,15 @@
     if (!shows(event)) return;
     if (text.size() > max_text_bytes) text.resize(max_text_bytes);
     for (char& c : text)
-        if (static_cast<unsigned char>(c) < ' ') c = ' ';  // a peer's bytes must not make lines of their own
-    std::string whole = kind_of(event).name + (' ' + text);
-    if (whole == last_line_) {
+        if (static_cast<unsigned char>(c) < ' ') c = ' ';  // untrusted bytes must not inject lines
+    std::string name_and_text = kind_of(event).name + (' ' + text);
+    if (name_and_text == last_line_) {
         ++repeats_;
         return;
     }
     flush_repeats();
     write(event, text, fields);
-    last_line_ = std::move(whole);
+    last_line_ = std::move(name_and_text);
 }
 
 void Log::flush_repeats() {
@@ -39,8 +39,10 @@
 
 void Log::write(Event event, const std::string& text, Fields fields) {
     const auto now = std::chrono::steady_clock::now();
-    if (now - allowance_set_at_ >= std::chrono::seconds(1))
-        allowance_set_at_ = now, allowance_ = lines_per_second_;
+    if (now - allowance_set_at_ >= std::chrono::seconds(1)) {
+        allowance_set_at_ = now;
+        allowance_ = lines_per_second_;
+    }
     if (allowance_ <= 0 || !writable()) {
         ++lines_dropped_;
         return;
@@ -51,7 +53,7 @@
         lines = line(Event::log_left_out, std::to_string(lines_dropped_) + " lines left out",
                      {{"lines", lines_dropped_}});
     lines += line(event, text, fields);
-    out_.clear();  // what went wrong before, as on a full disk, may be right again
+    out_.clear();  // an earlier error such as a full disk may have been resolved
     out_ << lines << std::flush;
     if (out_) lines_dropped_ = 0;
     else ++lines_dropped_;
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,6 +1,6 @@
-// The log: owns the stream that lines go to, with a level filter. It must never hold up the loop: lines
-// beyond its allowance or while the stream's reader lags are counted and not written, repeats are counted
-// once.
+// Log of a gateway: writes one line per event to a stream, filtered by level. Logging never blocks the event
+// loop: lines beyond the rate limit, or while the reader of the stream lags, are counted and dropped;
+// consecutive repeats are collapsed.
 #pragma once
 
 #include <chrono>
@@ -16,7 +16,7 @@
 
 namespace dewweir::net {
 
-// One typed value of an event.
+// A named, typed value of an event.
 struct Field {
     std::string_view name;
     std::variant<std::string_view, std::int64_t, const std::vector<std::int64_t>*> value;
@@ -24,16 +24,16 @@
 
 using Fields = std::initializer_list<Field>;
 
-// How a line is written, without its end; `unix_ms` is when. Handed in, so that the platform's program
-// carries no form but its own.
+// Formats a line without its line end; `unix_ms` is the time of the event. Passed in, so that the gateway
+// program links only its own format.
 using LineFormat = std::string (*)(std::int64_t unix_ms, const EventKind& kind, const std::string& text,
                                    Fields fields);
 std::string text_line(std::int64_t unix_ms, const EventKind& kind, const std::string& text, Fields fields);
 
 class Log {
   public:
-    // `descriptor` is what the stream writes to; it is asked whether it takes a line. -1: always. `lines` a
-    // second are written at the most.
+    // `descriptor`: file descriptor behind `out`, polled for writability before each line; -1 disables the
+    // check. At most `lines_per_second` lines are written.
     Log(std::ostream& out, int descriptor, Level max_level, int lines_per_second = 100,
         LineFormat format = text_line)
         : out_(out),
@@ -43,7 +43,7 @@
           format_(format) {}
     ~Log() { flush_repeats(); }
     bool shows(Event event) const { return kind_of(event).level <= max_level_; }
-    // `text` is for people, the fields for programs; text lines have the first, JSON both.
+    // Logs an event. Text lines contain `text` only, JSON lines also the fields.
     void record(Event event, std::string text, Fields fields = {});
 
   private:
@@ -57,7 +57,7 @@
     Level max_level_;
     int lines_per_second_;
     LineFormat format_;
-    std::string last_line_;  // event and text
+    std::string last_line_;  // event name and text of the last line
     std::int64_t repeats_ = 0, lines_dropped_ = 0;
     int allowance_ = 0;
     std::chrono::steady_clock::time_point allowance_set_at_{};
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -13,9 +13,10 @@
     : io_(io),
       log_(log),
       activity_observer_(activity_observer),
-      // Alarms are as exact as in the simulator, which looks at them once a step.
+      // Timers are as precise as in the simulator, which checks them once per step.
       deadlines_(std::min<Time>(configuration.timer_step, 50)),
-      // Standard streams, listening, signals, the loop's own: 14 descriptors with a margin.
+      // 14 descriptors are reserved for the standard streams, the listener, signals and the event loop, with
+      // a margin.
       connections_(io, deadlines_, configuration.max_sockets - 14),
       context_{io, deadlines_, connections_, log, configuration},
       hosts_(context_, *this),
@@ -24,12 +25,12 @@
       decisions_(*this, configuration.settings, configuration.seed, deadlines_.now()),
       clients_(context_, *this) {
     if (!configuration.initial_hosts.entries.empty()) host_list_received(configuration.initial_hosts);
-    // Where listener must be asked for, the decision module asks by itself.
+    // With watch_on_request the decision module starts the watch itself.
     if (!configuration.watch_on_request) discovery_.watch();
     if (activity_observer_) schedule_activity_report();
 }
 
-// At the same moments everywhere, so that gateways can be compared.
+// Reports at multiples of the interval since 1970, so that intervals of different gateways can be compared.
 void Node::schedule_activity_report() {
     const Time every = activity_observer_->interval();
     deadlines_.after(every - deadlines_.now() % every, [this] {
@@ -42,13 +43,13 @@
     peer_observer_ = peer_observer;
     if (peer_observer_)
         peer_observer_->host_list_received(
-            context_.configuration_.initial_hosts);  // what every later list is a change to
+            context_.configuration_.initial_hosts);  // later lists are increments to this one
 }
 
 void Node::run() {
     while (!io_.stopped()) {
         deadlines_.run_due();
-        // Due at once or not: sockets have their turn between any two rounds of deadlines.
+        // Sockets are polled between any two rounds of deadlines, even when the next deadline is already due.
         const auto next = deadlines_.next();
         if (next > std::chrono::steady_clock::now()) io_.run_one_until(next);
         else io_.poll_one();
@@ -72,7 +73,7 @@
     log_.record(Event::configuration_read, "configuration: read again");
 }
 
-// ---- what the module has done ----
+// ---- actions requested by the decision module ----
 
 void Node::start_attempt(std::uint32_t id, std::uint32_t host, Time give_up_after) {
     Request* const r = requests_.find(id);
@@ -120,7 +121,7 @@
         timers_.erase(token);
         decisions_.timer_expired(deadlines_.now(), token);
     });
-    // One that is set twice stays set twice; the later one can be taken back.
+    // A token that is set twice fires twice; only the later timer can be cancelled.
     timers_[token] = key;
 }
 
@@ -132,7 +133,7 @@
 }
 
 void Node::watch_host_list() {
-    // Asked for by the decision module, maybe while it is being told that the last try failed.
+    // Deferred: the decision module may call this while it handles the failure of the previous watch.
     asio::post(io_, [this] {
         deadlines_.update_now();
         discovery_.watch();
@@ -166,8 +167,7 @@
     remove_if_done(id);
 }
 
-// The decision module may name a request for as long as an attempt is in_flight; a later mention finds
-// nothing.
+// The decision module may refer to a request while an attempt is in flight; later references find nothing.
 void Node::remove_if_done(Handle id) {
     const Request* const r = requests_.find(id);
     if (!r || r->client || r->in_flight) return;
@@ -175,7 +175,7 @@
     requests_.remove(id);
 }
 
-// ---- what has happened ----
+// ---- events reported to the decision module ----
 
 Handle Node::request_received(Handle client, ReceivedRequest&& received) {
     const Handle id = requests_.add(client, received.id, std::move(received.head), std::move(received.body));
@@ -184,7 +184,9 @@
     if (activity_observer_) {
         activity_observer_->request_received(received.units);
         Request& r = *requests_.find(id);
-        r.route_class = received.route_class, r.units = received.units, r.received_at = deadlines_.now();
+        r.route_class = received.route_class;
+        r.units = received.units;
+        r.received_at = deadlines_.now();
     }
     decisions_.request_received(deadlines_.now(), id, received.route_class, received.quota_plan,
                                 received.tenant, received.units, received.gateways, received.time_limit);
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -1,6 +1,7 @@
-// One gateway: owns the requests and the decision module that decides on them, and ties clients, hosts,
-// counter and discovery to it. It carries in_flight and reports; it must never decide, nor call the decision
-// module from within a call of the decision module's.
+// A gateway process: owns the open requests and the decision module, and connects the client listener, the
+// upstream hosts, the counter client and the discovery client to it. Node carries out decisions and reports
+// events; it makes no decisions itself, and it never calls the decision module from within one of that
+// module's own callbacks.
 #pragma once
 
 #include <string>
@@ -21,26 +22,28 @@
 
 class Node : Gateway, RequestHandler, AttemptListener, CounterListener, HostListListener, ReportReceiver {
   public:
-    // Throws when the address cannot be listened on, or a setting is missing.
-    // `tallies`: told of what is done, where somebody counts it; outlives the node.
+    // Throws errors::CannotListen when the listen address is unavailable, errors::BadSetting when a setting
+    // is missing or unreadable. `activity_observer` may be null; otherwise it is notified of all activity and
+    // must outlive the node.
     Node(asio::io_context& io, Log& log, const Configuration& configuration,
          ActivityObserver* activity_observer = nullptr);
-    void run();  // until the loop is stopped
-    // A new configuration: where discovery and the counter are. What else it changes is named in the log.
+    void run();  // runs the event loop; returns once the io_context is stopped
+    // Applies the addresses of discovery and the counter from a new configuration. Every other key that
+    // differs is logged as needing a restart.
     void reload(const Configuration& fresh);
     const NodeContext& context() const { return context_; }
     ReportReceiver& report_receiver() { return *this; }
-    // Told from now on what we find, until it is nullptr again.
+    // Sets the observer that is notified of this gateway's observations; nullptr detaches it.
     void set_peer_observer(PeerObserver* peer_observer);
     void stop(std::function<void()> done) { clients_.stop(std::move(done)); }
 
   private:
     struct Request {
-        Handle client;  // 0 once it is answered, or its client has left
+        Handle client;  // 0 once the client was answered or has disconnected
         std::string id, head, body;
         int attempts = 0;
         bool in_flight = false;
-        Handle attempt_handle = 0;  // what calls it off, while it is in_flight
+        Handle attempt_handle = 0;  // for Hosts::cancel while the attempt is in flight, else 0
         int route_class = 0;
         double units = 0;
         Time received_at = 0;
@@ -92,8 +95,10 @@
     Connections connections_;
     NodeContext context_;
     Slots<Request> requests_;
-    std::unordered_set<std::string> open_;  // the clients' ids of all requests, never walked
-    std::unordered_map<std::uint64_t, Deadlines::Key> timers_;  // by token, while they stand
+    // X-Request-Id of every open request; only looked up, never iterated.
+    std::unordered_set<std::string> open_;
+    // Pending timers of the decision module, by token.
+    std::unordered_map<std::uint64_t, Deadlines::Key> timers_;
     Hosts hosts_;
     Counter counter_;
     Discovery discovery_;
--- a/src/net/part.h
+++ b/src/net/part.h
@@ -1,5 +1,5 @@
-// What every context of a gateway works with; owned by the node. A context must never keep any of it alive on
-// its own.
+// References shared by the components of a gateway (clients, hosts, counter, discovery, peers). The objects
+// are owned by the Node and outlive the components.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,6 +11,7 @@
 
 namespace dewweir::net {
 
+// Components inherit privately from it, hence the member names.
 struct NodeContext {
     asio::io_context& io_;
     Deadlines& deadlines_;
--- a/src/net/request_framing.h
+++ b/src/net/request_framing.h
@@ -1,6 +1,6 @@
-// Checks how a request's bytes are cut into lines and chunks, before the parser reads them: http-parser takes
-// bare line feeds, folded fields and space before a colon, and two readers that cut otherwise see two
-// different requests (RFC 9112, sections 2.2, 5.1, 5.2 and 7.1). It must never hold a byte.
+// Validates how the bytes of a request are split into lines and chunks before http-parser reads them. http-
+// parser accepts bare line feeds, folded fields and space before a colon; two readers that split differently
+// see different requests (request smuggling; RFC 9112, sections 2.2, 5.1, 5.2 and 7.1). Holds no bytes.
 #pragma once
 
 #include <cstddef>
@@ -11,12 +11,12 @@
 
 class RequestFraming {
   public:
-    // A head follows.
+    // Expects a message head next.
     void begin_head();
-    // A body in chunks follows, with its trailer.
+    // Expects a chunked body and its trailer next.
     void begin_chunks();
-    // Goes over bytes up to the end of the head or the chunks, or up to the first wrong byte. Returns how
-    // many are right.
+    // Checks bytes up to the end of the head or of the chunked body, or up to the first wrong byte. Returns
+    // the number of valid bytes.
     std::size_t check(std::string_view bytes);
     bool wrong() const { return place_ == Place::wrong; }
 
--- a/src/net/ring.h
+++ b/src/net/ring.h
@@ -1,5 +1,5 @@
-// One direction of a connection: a ring of bytes that grows at need and is given back when it stands empty.
-// It must never hold more than the most it was made for.
+// Ring buffer for one direction of a connection. Grows on demand and releases its memory when it is empty
+// and trimmed.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
     bool empty() const { return size_ == 0; }
     std::size_t room() const { return capacity_ - size_; }
 
-    // What can be read, in order: the second part is empty unless the bytes go round the end.
+    // Readable bytes in order; the second part is empty unless they wrap around.
     std::array<std::string_view, 2> filled() const {
         const std::size_t first = std::min(size_, capacity_ - head_);
         return {{{bytes_.get() + head_, first}, {bytes_.get(), size_ - first}}};
@@ -30,7 +30,7 @@
         char* at;
         std::size_t size;
     };
-    // Where bytes can be put, in order; `commit` makes them count.
+    // Writable space in order; `commit` makes written bytes readable.
     std::array<Space, 2> space() {
         if (capacity_ == 0) return {{{nullptr, 0}, {nullptr, 0}}};
         const std::size_t tail = (head_ + size_) & (capacity_ - 1);
@@ -47,6 +47,7 @@
         size_ += text.size();
     }
 
+    // Grows so that at least `wanted` more bytes fit.
     void make_room(std::size_t wanted) {
         if (room() >= wanted) return;
         std::size_t capacity = std::max<std::size_t>(capacity_, 1024);
@@ -54,12 +55,15 @@
         std::unique_ptr<char[]> bytes(new char[capacity]);
         std::size_t at = 0;
         for (const std::string_view part : filled())
-            if (!part.empty()) std::memcpy(&bytes[at], part.data(), part.size()), at += part.size();
+            if (!part.empty()) {
+                std::memcpy(&bytes[at], part.data(), part.size());
+                at += part.size();
+            }
         bytes_ = std::move(bytes);
         capacity_ = capacity;
         head_ = 0;
     }
-    // Gives back what it holds when it stands empty.
+    // Releases the memory if the ring is empty.
     void trim() {
         if (size_) return;
         bytes_.reset();
--- a/src/net/slots.h
+++ b/src/net/slots.h
@@ -1,6 +1,5 @@
-// A table of numbered slots: owns what is in them, and gives each a handle of slot number and generation, so
-// that a late event never reaches what took the slot over. It must never move what it holds, nor reuse a
-// handle while its slot is taken.
+// Table of slots addressed by handles of slot number and generation, so that a late event never reaches the
+// new occupant of a slot. Elements never move. A handle of an occupied slot is never reused.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +10,7 @@
 
 namespace dewweir::net {
 
-using Handle = std::uint32_t;  // 0 is none
+using Handle = std::uint32_t;  // generation and slot number; 0 is none
 
 template <class T> class Slots {
   public:
--- a/src/net/tallies.h
+++ b/src/net/tallies.h
@@ -1,5 +1,5 @@
-// What a gateway does, told as it happens to whoever counts it. The node calls it; without an operator file
-// there is none, and nothing is called.
+// Interface notified of everything that a gateway does, for counting. The node calls it; it exists only when
+// the operator file asks for it.
 #pragma once
 
 #include "dewweir/decisions.h"
@@ -12,16 +12,19 @@
   public:
     virtual ~ActivityObserver() = default;
     virtual void request_received(double units) = 0;
+    // `first`: the first attempt of its request.
     virtual void attempt_started(bool first, double units) = 0;
-    virtual void counter_called(double units) = 0;  // a call to the counter: added, or given back under 0
+    // A call to the counter added `units`, or gave them back if negative.
+    virtual void counter_called(double units) = 0;
+    // `took`: from the arrival of the request to its 200 response.
     virtual void served(int route_class, Time took) = 0;
     virtual void refused() = 0;
     virtual void failed() = 0;
     virtual void client_disconnected() = 0;
     virtual void report_decisions(const DecisionCounts& often) = 0;
-    // Tells the log what was counted since the last time; `now` as the node has it.
+    // Logs the activity since the last report.
     virtual void report(Log& log, Time now) = 0;
-    virtual Time interval() const = 0;  // how often that is
+    virtual Time interval() const = 0;  // time between two reports
 };
 
 }  // namespace dewweir::net
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -20,13 +20,13 @@
 
 int serve(const Extras* extras) {
     std::signal(SIGPIPE, SIG_IGN);
-    asio::io_context io(1);  // one thread, and no locks for others
-    // Caught from here on: one that comes before the gateway stands is heard once it does.
+    asio::io_context io(1);  // single-threaded: asio needs no locks
+    // Signals are caught from here on and handled once the gateway is up.
     asio::signal_set stop_signals(io, SIGTERM, SIGINT), reload_signals(io, SIGHUP);
     Configuration configuration;
     try {
         configuration = read_configuration();
-        // What the environment says holds over the file.
+        // The environment takes precedence over the operator file.
         if (extras && !std::getenv("DEWWEIR_LOG"))
             configuration.log_level = parse_level(extras->with.log_level);
     } catch (const std::exception& fault) {
@@ -51,7 +51,7 @@
         if (extras && extras->peer_observer)
             peer_observer = extras->peer_observer(node->context(), node->report_receiver());
         node->set_peer_observer(peer_observer.get());
-        // Whatever stop_signals this: the observer goes before the node, which must not call it then.
+        // On every exit path the observer is destroyed before the node, which must not call it any more.
         const auto detach = [&](Node* of) { of->set_peer_observer(nullptr); };
         const std::unique_ptr<Node, decltype(detach)> detach_at_exit(node.get(), detach);
         stop_signals.async_wait([&](const std::error_code& fault, int) {
--- a/src/serve.h
+++ b/src/serve.h
@@ -1,5 +1,5 @@
-// The gateway as a program: reads what it is told at start and again at SIGHUP, runs one loop until SIGTERM
-// and whatever is then still to be answered, and ends.
+// The gateway as a program: reads its configuration at start and at SIGHUP, runs one event loop, and after
+// SIGTERM or SIGINT answers the open requests and ends.
 #pragma once
 
 #include <functional>
@@ -16,20 +16,21 @@
 
 struct OperatorFile;
 
-// What the sub-commands' program adds to the gateway, so that the platform's carries none of it.
+// Optional features that the tools program adds to the gateway, so that the plain gateway program does not
+// link them.
 struct Extras {
     const OperatorFile& with;
-    net::LineFormat json = nullptr;        // how lines are written where the file asks for JSON
-    std::string version, settings, label;  // what it is, told with its readiness; may be empty
-    // Makes what counts, told the goals of the tracks.
+    net::LineFormat json = nullptr;        // line format when the operator file asks for JSON
+    std::string version, settings, label;  // logged with gateway.ready; may be empty
+    // Creates the activity observer; `goals` are the latency goals of the route classes.
     std::function<std::unique_ptr<net::ActivityObserver>(Time every, std::vector<Time> goals)> tallies{};
-    // Makes the observer of the other gateways, where the file asks for it.
+    // Creates the link to the peers if the operator file configures membership.
     std::function<std::unique_ptr<net::PeerObserver>(const net::NodeContext&, net::ReportReceiver&)>
         peer_observer{};
 };
 
-// `extras`: nothing on the platform. 0 after a clean end, else the exit code of the
-// error that ended it (docs/errors.md).
+// `extras` is null for the plain gateway. Returns 0 after a clean end, otherwise the exit code of the error
+// (docs/errors.md).
 int serve(const Extras* extras);
 
 }  // namespace dewweir
