--- a/tests/http/feed.h
+++ b/tests/http/feed.h
@@ -1,4 +1,4 @@
-// Feeds requests to an HttpReader, at once or in pieces, and says what became of them.
+// Feeds requests to an HttpReader, at once or in pieces, and returns the result.
 #pragma once
 
 #include <cstddef>
@@ -9,16 +9,16 @@
 
 namespace dewweir::net::tests {
 
-// All that a reader tells of one message.
+// The result of reading one message.
 struct Reading {
     HttpReader::State state = HttpReader::State::more;
     int fault = 0;
     std::string target;
-    std::string fields;  // that pass on
+    std::string fields;  // forwarded header fields
     std::string body;
     bool chunked = false;
     bool keep_alive = false;
-    std::size_t unread = 0;  // bytes left behind the message
+    std::size_t unread = 0;  // bytes after the message
 
     bool operator==(const Reading&) const = default;
 };
@@ -29,8 +29,7 @@
     return limits;
 }
 
-// The first message of `text`, which comes `step` bytes at a time. Bytes that come after a message's end stay
-// unread.
+// Reads the first message of `text`, fed `step` bytes at a time. Bytes after its end stay unread.
 inline Reading read_request(std::string_view text, std::size_t step,
                             const HttpLimits& limits = chunked_limits()) {
     HttpReader reader(HTTP_REQUEST, limits);
--- a/tests/http/reader.cpp
+++ b/tests/http/reader.cpp
@@ -1,4 +1,4 @@
-// What an HttpReader makes of good requests and answers, and where its limits lie.
+// HttpReader on valid requests and responses, and its limits.
 #include <catch2/catch.hpp>
 #include <random>
 #include <string>
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-TEST_CASE("a request's bytes give the same however they come, and none behind it is taken") {
+TEST_CASE("a request reads the same however it is split, and no byte after it is consumed") {
     std::mt19937 random(7);
     for (int round = 0; round < 40; ++round) {
         const std::string body(random() % 300, 'b');
@@ -61,7 +61,7 @@
     CHECK(reading.fields == "Host: shop\r\nX-Empty: \r\n");
 }
 
-TEST_CASE("fields behind a chunked body are no fields of the head") {
+TEST_CASE("trailer fields are not header fields") {
     const std::string text = chunked_head + "0\r\nAuthorization: Bearer other\r\nHost: other\r\n\r\n";
     for (const std::size_t step : {text.size(), std::size_t{1}}) {
         const Reading reading = read_request(text, step);
@@ -70,13 +70,13 @@
     }
 }
 
-TEST_CASE("a coding is refused as unwanted where chunked requests are") {
+TEST_CASE("a chunked request is refused where chunked requests are not accepted") {
     const Reading reading = read_request(chunked_head + "0\r\n\r\n", 1, HttpLimits{});
     CHECK(reading.state == State::bad);
     CHECK(reading.fault == 411);
 }
 
-TEST_CASE("a body over the limit is refused: by its length at once, in chunks when it has come") {
+TEST_CASE("a body over the limit is refused: at once by its length, a chunked one when the limit is passed") {
     const HttpLimits limits = limits_of(default_max_head_bytes, 10);
     const Reading sized = read_request("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n", 1, limits);
     CHECK(sized.fault == 413);
@@ -132,7 +132,7 @@
     CHECK(taken == std::string(640, 'c'));
 }
 
-TEST_CASE("requests without a body are whole with their heads, one after the other") {
+TEST_CASE("requests without a body are complete with their heads, one after the other") {
     HttpReader reader(HTTP_REQUEST, chunked_limits());
     Ring ring;
     ring.append(
@@ -149,7 +149,7 @@
     CHECK(targets == std::vector<std::string>{"/1 ", "/2 ", "/a/ a", "/4 "});
 }
 
-TEST_CASE("an answer tells whether its end shows") {
+TEST_CASE("a response shows whether its body ends with the connection") {
     const auto ends_with_connection = [](const std::string& head, bool no_body) {
         HttpReader reader(HTTP_RESPONSE, HttpLimits{});
         if (no_body) reader.expect_no_body();
--- a/tests/http/smuggling.cpp
+++ b/tests/http/smuggling.cpp
@@ -1,5 +1,5 @@
-// Requests that two readers could take for different ones are answered 400, however their bytes come. Cases
-// after RFC 9112 (sections 2.2, 5.1, 5.2, 6.1 to 6.3 and 7.1).
+// Requests that two parsers could read differently (request smuggling) are answered 400, however they are
+// split. Cases from RFC 9112 (sections 2.2, 5.1, 5.2, 6.1 to 6.3 and 7.1).
 #include <catch2/catch.hpp>
 #include <random>
 #include <string>
@@ -53,7 +53,7 @@
     }
 }
 
-TEST_CASE("a name with space around it is refused") {
+TEST_CASE("a field name with space around it is refused") {
     require_refused(with_fields("Transfer-Encoding : chunked\r\n", "0\r\n\r\n"));
     require_refused(with_fields("Content-Length : 3\r\n", "abc"));
     require_refused(with_fields("Content-Length\t: 3\r\n", "abc"));
@@ -64,7 +64,7 @@
     require_refused(with_fields("nothing\r\n"));
 }
 
-TEST_CASE("a field's value that goes on in a second line is refused") {
+TEST_CASE("a folded field value is refused") {
     require_refused(with_fields("Transfer-Encoding:\r\n chunked\r\n", "0\r\n\r\n"));
     require_refused(with_fields("Transfer-Encoding: chun\r\n ked\r\n", "0\r\n\r\n"));
     require_refused(with_fields("Content-Length: 1\r\n 0\r\n", "abcdefghij"));
@@ -72,7 +72,7 @@
     require_refused(with_fields("X-Note: a\r\n \r\n"));
 }
 
-TEST_CASE("a line that ends otherwise than by CR LF is refused") {
+TEST_CASE("a line that does not end with CR LF is refused") {
     require_refused("POST /a/ HTTP/1.1\nHost: shop\r\n\r\n");
     require_refused("POST /a/ HTTP/1.1\r\nHost: shop\n\r\n");
     require_refused("POST /a/ HTTP/1.1\r\nHost: shop\r\n\n");
@@ -92,7 +92,7 @@
     require_refused("POST /a/\fb HTTP/1.1\r\nHost: shop\r\n\r\n");
 }
 
-TEST_CASE("a chunk that isn't framed as told is refused") {
+TEST_CASE("a malformed chunk is refused") {
     const std::string chunked = "Transfer-Encoding: chunked\r\n";
     for (const char* const body : {"3\nabc\r\n0\r\n\r\n",
                                    "3\r\nabc\n0\r\n\r\n",
@@ -126,7 +126,7 @@
     require_refused("GET /a/ HTTP/1.10\r\nHost: shop\r\n\r\n");
 }
 
-TEST_CASE("spoilt requests give the same however their bytes come") {
+TEST_CASE("corrupted requests give the same result however they are split") {
     const std::string seeds[] = {
         with_fields("Content-Length: 5\r\n", "abcde"),
         with_fields("Transfer-Encoding: chunked\r\nX-Note: a\r\n",
--- a/tests/model/counts.cpp
+++ b/tests/model/counts.cpp
@@ -1,4 +1,4 @@
-// The counts event: what is counted, how it is told, and that each stretch begins at nothing.
+// The counts event: what is counted, how it is logged, and that each interval starts from zero.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 using namespace dewweir;
 using namespace dewweir::net;
 
-TEST_CASE("counts are told typed, with times as buckets of equal ratio, and begin anew") {
+TEST_CASE("counts are logged as typed fields with a latency histogram, and are reset afterwards") {
     CountsEvent counts(50000, {10000, 500});
     for (int n = 0; n < 3; ++n) counts.request_received(1.5);
     counts.attempt_started(true, 1.5);
@@ -40,7 +40,8 @@
     CHECK(told["end_ms"] == 1700000005000);
     CHECK(told["memory_kb"] > 100);
     CHECK(told["times"] == nlohmann::json({time_bucket(501), 1, time_bucket(10000), 1}));
-    counts.report(log, 17000000100000 - 50000);  // nothing done: no repeat of a line, or it would be missing
+    counts.report(log,
+                  17000000100000 - 50000);  // without activity the line is still distinct and not collapsed
     counts.report(log, 17000000100000 - 40000);
     CHECK(out.str().find("log.repeated") == std::string::npos);
     CHECK(std::ranges::count(out.str(), '\n') == 3);
@@ -53,7 +54,7 @@
     CHECK(next["every_ms"] == 5000);
 }
 
-TEST_CASE("a bucket holds what lies within its ratio, from 0.1 ms on, and the last one all above") {
+TEST_CASE("latency buckets have equal ratios from 0.1 ms on, and the last one is unbounded") {
     CHECK(time_bucket(0) == 0);
     CHECK(time_bucket(1) == 0);
     CHECK(time_bucket(2) == 4);
--- a/tests/model/errors.cpp
+++ b/tests/model/errors.cpp
@@ -1,4 +1,4 @@
-// Errors as types: what each carries, and that the docs and the exit codes say what the table says.
+// Typed errors: what each carries, and that the documentation and the exit codes match the table.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -10,7 +10,7 @@
 
 using namespace dewweir;
 
-TEST_CASE("the errors page is as the table makes it; names are told apart, exit codes are in range") {
+TEST_CASE("the errors page matches the table; names are unique, exit codes are in range") {
     std::stringstream page;
     page << std::ifstream(std::string(SOURCE) + "/docs/errors.md").rdbuf();
     CHECK_MESSAGE(page.str().find(errors::errors_table()) != std::string::npos,
@@ -25,7 +25,7 @@
     }
 }
 
-TEST_CASE("errors are told apart by type, and what the system refuses becomes the kind it is") {
+TEST_CASE("errors are distinguished by type, and system errors map to the right kind") {
     const auto kind = [](int number) {
         try {
             errors::throw_of_system<errors::CannotStart>(number, "x");
--- a/tests/sockets/clients.cpp
+++ b/tests/sockets/clients.cpp
@@ -1,29 +1,29 @@
-// The real program over loopback: clients, good and bad.
+// Gateway process over loopback: client connections, valid and invalid requests, limits of connections.
 #include "world.h"
 
-TEST_CASE("a client that leaves: its execution is called off and nothing more is sent") {
+TEST_CASE("when a client disconnects, its attempt is cancelled and nothing more is sent") {
     World world;
     world.start();
-    Line client = world.client();
+    TestConnection client = world.client();
     client.send(get());
-    Line host = world.a.accept();
-    host.message();
+    TestConnection host = world.a.accept();
+    host.read_message();
     client.close();
     CHECK(host.ended());
-    CHECK(!world.a.knocked(50));
+    CHECK(!world.a.has_connection(50));
 }
 
-TEST_CASE("bounces carry advice in seconds") {
+TEST_CASE("refusals carry Retry-After in seconds") {
     World world;
     world.start();
-    Line client = world.client();
+    TestConnection client = world.client();
     client.send(get("1", "small"));
-    Line host = world.a.accept();
-    host.message();
-    host.send(says("200 OK"));
-    client.message();
+    TestConnection host = world.a.accept();
+    host.read_message();
+    host.send(response("200 OK"));
+    client.read_message();
     client.send(get("2", "small"));
-    const std::string answer = client.message();
+    const std::string answer = client.read_message();
     CHECK(status(answer) == 503);
     const std::size_t at = answer.find("Retry-After: ");
     REQUIRE(at != answer.npos);
@@ -35,9 +35,9 @@
     World world;
     world.start();
     const auto refused = [&](const std::string& request) {
-        Line client = world.client();
+        TestConnection client = world.client();
         client.send(request);
-        const std::string answer = client.message();
+        const std::string answer = client.read_message();
         CHECK_MESSAGE(status(answer) / 100 == 4, request << " got " << answer);
         return status(answer);
     };
@@ -66,110 +66,112 @@
     refused(replaced(book(""), "Content-Length: 0", "Content-Length: 2\r\nContent-Length: 3"));
     CHECK(refused(replaced(get(), "Host: app.svc", "Host: " + std::string(20000, 'a'))) == 431);
     refused("this is no HTTP\r\n\r\n");
-    // What names two lengths may hide a request behind it: nothing more is read there.
-    Line hidden = world.client();
+    // A message with two framings may smuggle a request: nothing more is read on its connection.
+    TestConnection hidden = world.client();
     hidden.send(replaced(book(""), "Content-Length: 0", "Content-Length: 4\r\nTransfer-Encoding: chunked") +
                 "0\r\n\r\n" + get("hidden"));
-    CHECK(status(hidden.message()) / 100 == 4);
+    CHECK(status(hidden.read_message()) / 100 == 4);
     CHECK(hidden.ended());
-    CHECK(!world.a.knocked(20));
-    // A request that is only wrong leaves its connection in use.
-    Line client = world.client();
+    CHECK(!world.a.has_connection(20));
+    // A well-formed but invalid request keeps its connection.
+    TestConnection client = world.client();
     client.send(replaced(get(), "X-Class: read", "X-Class: write") + get("good"));
-    CHECK(status(client.message()) == 400);
-    Line host = world.a.accept();
-    delivered(client, host);
+    CHECK(status(client.read_message()) == 400);
+    TestConnection host = world.a.accept();
+    serve(client, host);
 }
 
-TEST_CASE("an id that is open is not taken a second time, and free again once it is answered") {
+TEST_CASE("a request id that is open is refused a second time and can be reused once it is answered") {
     World world;
     world.start();
-    Line client = world.client(), other = world.client();
+    TestConnection client = world.client(), other = world.client();
     client.send(get("same"));
-    Line host = world.a.accept();
-    host.message();
+    TestConnection host = world.a.accept();
+    host.read_message();
     other.send(get("same"));
-    CHECK(status(other.message()) == 409);
-    host.send(says("200 OK"));
-    CHECK(status(client.message()) == 200);
+    CHECK(status(other.read_message()) == 409);
+    host.send(response("200 OK"));
+    CHECK(status(client.read_message()) == 200);
     other.send(get("same"));
-    delivered(other, host);
+    serve(other, host);
 }
 
-TEST_CASE("who sends nothing, or no whole message, is let go within 3 s; who has asked, not within 2 s") {
+TEST_CASE("clients without a complete message are disconnected within 3 s, idle ones not before 2 s") {
     World world;
     world.start();
     const auto began = std::chrono::steady_clock::now();
     const auto passed = [&] { return std::chrono::steady_clock::now() - began; };
-    Line silent = world.client(), half = world.client(), asked = world.client(), large = world.client();
+    TestConnection silent = world.client(), half = world.client(), asked = world.client(),
+                   large = world.client();
     half.send(get().substr(0, 60));
     large.send(replaced(book(""), "Content-Length: 0", "Content-Length: 60000000") +
                std::string(300000, 'x'));
-    CHECK(status(large.message()) == 413);
+    CHECK(status(large.read_message()) == 413);
     asked.send(get());
-    Line host = world.a.accept();
-    delivered(asked, host);
+    TestConnection host = world.a.accept();
+    serve(asked, host);
     CHECK(silent.ended());
     CHECK(passed() < std::chrono::milliseconds(2900));
-    CHECK(status(half.message()) == 408);
+    CHECK(status(half.read_message()) == 408);
     CHECK(half.ended());
     CHECK(passed() < std::chrono::milliseconds(2900));
     CHECK(asked.ended());
     CHECK(passed() > std::chrono::milliseconds(2000));
 }
 
-TEST_CASE("where many ask once and keep their connection, those that stand idle go soon") {
+TEST_CASE("with many idle keep-alive connections, idle ones are closed sooner") {
     World world;
     world.sockets = 120;  // of which clients hold 40
     world.start();
-    std::vector<Line> stay;
+    std::vector<TestConnection> stay;
     for (int n = 0; n < 25; ++n) {
         stay.push_back(world.client());
         stay.back().send(get(std::to_string(n)));
         if (n == 0) stay.push_back(world.a.accept());
-        delivered(stay[n ? n + 1 : 0], stay[1]);
+        serve(stay[n ? n + 1 : 0], stay[1]);
     }
     const auto began = std::chrono::steady_clock::now();
     CHECK(stay.back().ended());
-    // The first one came while there was room for all.
+    // The first one got the longer timeout, since few connections were open then.
     if (std::chrono::steady_clock::now() - began < std::chrono::milliseconds(1000)) CHECK(stay[0].silent(0));
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(1500));
 }
 
-TEST_CASE("more clients than descriptors: idle ones go first, nothing that was taken is dropped") {
+TEST_CASE(
+    "with more clients than descriptors, idle ones are closed first and no accepted request is dropped") {
     World world;
     world.sockets = 40;  // of which 26 are for connections, and clients leave a quarter of those
     world.start();
     rlimit few{40, 40};
     REQUIRE(prlimit(world.gateway->pid(), RLIMIT_NOFILE, &few, nullptr) == 0);
-    std::vector<Line> idle;
+    std::vector<TestConnection> idle;
     for (int n = 0; n < 24; ++n) idle.push_back(world.client());
-    Line client = world.client();
+    TestConnection client = world.client();
     client.send(get());
-    Line host = world.a.accept();
-    host.message();
-    std::vector<Line> crowd;
+    TestConnection host = world.a.accept();
+    host.read_message();
+    std::vector<TestConnection> crowd;
     for (int n = 0; n < 60; ++n) crowd.push_back(world.client());
-    host.send(says("200 OK"));
-    CHECK(status(client.message()) == 200);
+    host.send(response("200 OK"));
+    CHECK(status(client.read_message()) == 200);
     crowd.clear();
-    Line late = world.client();
+    TestConnection late = world.client();
     late.send(get());
-    delivered(late, host);
+    serve(late, host);
 }
 
-TEST_CASE("a client that has just connected is not let go for the next one") {
+TEST_CASE("a client that has just connected is not closed to make room for the next one") {
     World world;
     world.sockets = 40;
     world.start();
     const auto began = std::chrono::steady_clock::now();
-    std::vector<Line> crowd;
-    for (int n = 0; n < 24; ++n) crowd.push_back(world.client());  // more than are taken in
+    std::vector<TestConnection> crowd;
+    for (int n = 0; n < 24; ++n) crowd.push_back(world.client());  // more than fit
     const bool kept = crowd[0].silent(50);
-    // A machine too slow for a quarter of a second proves nothing.
+    // On a machine that took this long the connection may be idle already: inconclusive.
     if (std::chrono::steady_clock::now() - began > std::chrono::milliseconds(200)) return;
     CHECK(kept);
     crowd[0].send(get());
-    Line host = world.a.accept();
-    delivered(crowd[0], host);
+    TestConnection host = world.a.accept();
+    serve(crowd[0], host);
 }
--- a/tests/sockets/life.cpp
+++ b/tests/sockets/life.cpp
@@ -1,107 +1,108 @@
-// The real program over loopback: signals, and the configuration at start.
+// Gateway process over loopback: signals, and the configuration at start.
 #include "world.h"
 
-TEST_CASE("SIGHUP: discovery and counter are where the new file says; calls out keep their answers") {
+TEST_CASE("SIGHUP: discovery and counter move to their new addresses; calls in flight keep their replies") {
     World world;
     world.with_counter();
     const std::string life = world.window_just_begun();
     world.start();
-    Line watch = world.discovery.accept(), counter = world.counter.accept();
-    Line client = world.client();
+    TestConnection watch = world.discovery.accept(), counter = world.counter.accept();
+    TestConnection client = world.client();
     client.send(get("1", "small"));
-    counter.until("\r\n");
-    Door discovery, new_counter;
+    counter.read_until("\r\n");
+    StubServer discovery, new_counter;
     world.gateway->configure(
         replaced(replaced(world.configuration(), world.discovery.address(), discovery.address()),
                  world.counter.address(), new_counter.address()));
     world.gateway->signal(SIGHUP);
-    Line next = new_counter.accept(), anew = discovery.accept();
-    CHECK(watch.until("\r\n\r\n").find("index=4 ") != std::string::npos);
+    TestConnection next = new_counter.accept(), anew = discovery.accept();
+    CHECK(watch.read_until("\r\n\r\n").find("index=4 ") != std::string::npos);
     CHECK(watch.ended());
-    // Over its quota, says the old counter; that is its last word.
+    // The old counter's last reply: the tenant is over its quota.
     counter.send("ok 900\r\n");
-    CHECK(status(client.message()) == 503);
-    next.until(" 0 " + life + "\r\n");  // the window before
+    CHECK(status(client.read_message()) == 503);
+    next.read_until(" 0 " + life + "\r\n");  // the previous window
     next.send("ok 0\r\n");
-    next.until(" -1 " + life + "\r\n");  // and its unit back
+    next.read_until(" -1 " + life + "\r\n");  // and its unit is given back
     next.send("ok 899\r\n");
-    Line other = world.client();
+    TestConnection other = world.client();
     other.send(replaced(get("2"), "00000000b4d65521", "0000000000000007"));
-    CHECK(next.until("\r\n").find(" 1 60000") != std::string::npos);
+    CHECK(next.read_until("\r\n").find(" 1 60000") != std::string::npos);
     next.send("ok 1\r\n");
-    // Whole at its host before news that this host is gone: one that still waits for its connection moves.
-    Line host = world.a.accept();
-    host.message();
-    // The new source counts from elsewhere, and has another host.
-    anew.until("\r\n\r\n");
+    // The request has reached its host before the list removes that host; one still waiting for a connection
+    // would move.
+    TestConnection host = world.a.accept();
+    host.read_message();
+    // The new source has unrelated revisions and another host.
+    anew.read_until("\r\n\r\n");
     anew.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
               chunk(list(2, true, entry("b", world.b)) + "\n"));
-    host.send(says("200 OK"));
-    CHECK(status(other.message()) == 200);
+    host.send(response("200 OK"));
+    CHECK(status(other.read_message()) == 200);
     CHECK(host.ended());
     other.send(replaced(get("3"), "00000000b4d65521", "0000000000000007"));
-    next.until("\r\n");
+    next.read_until("\r\n");
     next.send("ok 2\r\n");
-    Line second = world.b.accept();
-    delivered(other, second);
+    TestConnection second = world.b.accept();
+    serve(other, second);
 }
 
-TEST_CASE("SIGHUP with a bad file, or the same one: a message, and the old one stays") {
+TEST_CASE("SIGHUP with a bad or unchanged file: a message, and the old configuration stays") {
     World world;
     world.with_counter();
     world.start();
-    Line watch = world.discovery.accept(), counter = world.counter.accept();
+    TestConnection watch = world.discovery.accept(), counter = world.counter.accept();
     world.gateway->configure(replaced(world.configuration(), R"("discovery":"127)", R"("discovery":"x)"));
     world.gateway->signal(SIGHUP);
     CHECK(logged(world, "error configuration: discovery: "));
     world.gateway->configure(replaced(world.configuration(), R"("sockets":256)", R"("sockets":512)"));
     world.gateway->signal(SIGHUP);
     CHECK(logged(world, "configuration: limits.sockets: needs a restart"));
-    CHECK(!world.discovery.knocked(20));
-    CHECK(!world.counter.knocked(0));
+    CHECK(!world.discovery.has_connection(20));
+    CHECK(!world.counter.has_connection(0));
     CHECK(counter.silent(0));
 }
 
-TEST_CASE("SIGTERM: not ready, what is open is answered and let go, and it ends clean") {
+TEST_CASE("SIGTERM: readiness fails, open requests are answered, connections close and the exit code is 0") {
     World world;
     world.start();
-    Line client = world.client(), idle = world.client();
-    client.send(book());  // never called off, however long it takes
-    Line host = world.a.accept();
-    host.message();
+    TestConnection client = world.client(), idle = world.client();
+    client.send(book());  // non-idempotent: never cancelled, however long it takes
+    TestConnection host = world.a.accept();
+    host.read_message();
     world.gateway->signal(SIGTERM);
-    CHECK(idle.ended());  // the door has closed by now
-    host.send(says("200 OK", "in time"));
-    const std::string answer = client.message();
+    CHECK(idle.ended());  // the listener has closed by now
+    host.send(response("200 OK", "in time"));
+    const std::string answer = client.read_message();
     CHECK(status(answer) == 200);
     CHECK(answer.find("Connection: close\r\n") != answer.npos);
     CHECK(client.ended());
     client.close();
     idle.close();
-    CHECK(world.gateway->ends() == 0);
+    CHECK(world.gateway->wait_for_exit() == 0);
 }
 
-TEST_CASE("SIGTERM: new connections are still served for a while, but not called ready") {
+TEST_CASE("SIGTERM: new connections are still served for a while, but readiness fails") {
     World world;
     world.start();
     world.gateway->signal(SIGTERM);
-    for (int tried = 0;; ++tried) {  // until the signal has come through
-        Line asks = world.client();
+    for (int tried = 0;; ++tried) {  // until the signal has been handled
+        TestConnection asks = world.client();
         asks.send("GET /health/ready HTTP/1.1\r\n\r\n");
-        if (status(asks.message()) == 503) break;
+        if (status(asks.read_message()) == 503) break;
         REQUIRE(tried < 1000);
     }
-    Line client = world.client();
+    TestConnection client = world.client();
     client.send(get());
-    Line host = world.a.accept();
-    delivered(client, host);
+    TestConnection host = world.a.accept();
+    serve(client, host);
 }
 
 TEST_CASE("a bad configuration: the message names the key, and the exit code says so") {
     World world;
     const auto fault = [&](const std::string& from, const std::string& to, const std::string& key) {
-        Gateway gateway(replaced(world.configuration(), from, to));
-        CHECK(gateway.ends() == 2);
+        GatewayProcess gateway(replaced(world.configuration(), from, to));
+        CHECK(gateway.wait_for_exit() == 2);
         CHECK_MESSAGE(gateway.log().find("configuration: " + key) != std::string::npos, gateway.log());
     };
     fault(R"("name":"n1")", R"("name":7)", "name: ");
@@ -114,9 +115,9 @@
     fault(R"("dialTimeout":250.0)", R"("dialTimeout":"soon")", "settings.limits.connect_within: ");
     fault(R"("fall":3000.0,)", "", "settings.rules.fall: term missing");
     fault(R"("name":"n1")", R"("name":"n1)", "configuration: no JSON");
-    Gateway nowhere(
+    GatewayProcess nowhere(
         replaced(world.configuration(), world.place.address(), "127.0.0.1:" + std::to_string(world.a.port)));
-    CHECK(nowhere.ends() == 10);  // cannot_listen: docs/errors.md
+    CHECK(nowhere.wait_for_exit() == 10);  // cannot_listen: docs/errors.md
     CHECK(nowhere.log().find("listen") != std::string::npos);
     CHECK(nowhere.log().find("what to do: ") != std::string::npos);
 }
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -1,5 +1,5 @@
-// Helpers of the socket tests: the program under test, and plain ends of connections that a test plays host,
-// counter, discovery or client with. Ports come from the system, and every wait is bounded.
+// Helpers of the socket tests: the gateway process under test, and plain connections with which a test plays
+// host, counter, discovery or client. The kernel chooses the ports, and every wait is bounded.
 #pragma once
 
 #include <arpa/inet.h>
@@ -23,18 +23,20 @@
 #include <utility>
 #include <vector>
 
-inline constexpr int patience_ms = 10000;  // what no healthy answer takes
+inline constexpr int timeout_ms = 10000;  // limit of every wait; a healthy gateway answers much sooner
 
-class Line {  // one end of a connection
+// One end of a TCP connection.
+class TestConnection {
   public:
-    explicit Line(int fd) : fd_(fd) {}
-    Line(Line&& other) noexcept : fd_(std::exchange(other.fd_, -1)), got_(std::move(other.got_)) {}
-    ~Line() { close(); }
-    static Line to(int port) {
+    explicit TestConnection(int fd) : fd_(fd) {}
+    TestConnection(TestConnection&& other) noexcept
+        : fd_(std::exchange(other.fd_, -1)), received_(std::move(other.received_)) {}
+    ~TestConnection() { close(); }
+    static TestConnection to(int port) {
         const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         sockaddr_in at = address(port);
         REQUIRE(connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
-        return Line(fd);
+        return TestConnection(fd);
     }
     static sockaddr_in address(int port) {
         sockaddr_in at{};
@@ -51,28 +53,29 @@
             sent += static_cast<std::size_t>(n);
         }
     }
-    // Reads up to and with `end`; fails when it does not come.
-    std::string until(const std::string& end) {
+    // Reads up to and including `end`; fails on a timeout.
+    std::string read_until(const std::string& end) {
         std::size_t at;
-        while ((at = got_.find(end)) == got_.npos)
-            if (!more(patience_ms)) FAIL("instead of `" << end << "` came `" << got_ << "` and no more");
+        while ((at = received_.find(end)) == received_.npos)
+            if (!more(timeout_ms)) FAIL("instead of `" << end << "` came `" << received_ << "` and no more");
         return take(at + end.size());
     }
-    // A whole message with its head; its body goes by Content-Length.
-    std::string message() {
-        std::string head = until("\r\n\r\n");
+    // Reads a complete message; the body length comes from Content-Length.
+    std::string read_message() {
+        std::string head = read_until("\r\n\r\n");
         const std::size_t at = head.find("Content-Length: ");
         const std::size_t size = at == head.npos ? 0 : std::strtoul(&head[at + 16], nullptr, 10);
-        while (got_.size() < size)
-            if (!more(patience_ms)) FAIL("a body is cut short");
+        while (received_.size() < size)
+            if (!more(timeout_ms)) FAIL("a body is cut short");
         return head + take(size);
     }
-    // True when the other side has ended the connection, with nothing more said.
+    // Whether the other side closes the connection without sending anything more.
     bool ended() {
-        while (more(patience_ms)) {}
-        return got_.empty() && over_;
+        while (more(timeout_ms)) {}
+        return received_.empty() && closed_;
     }
-    bool silent(int ms) { return got_.empty() && !more(ms) && !over_; }
+    // Whether nothing arrives within `ms` and the connection stays open.
+    bool silent(int ms) { return received_.empty() && !more(ms) && !closed_; }
     void close() {
         if (fd_ >= 0) ::close(fd_);
         fd_ = -1;
@@ -85,45 +88,50 @@
 
   private:
     std::string take(std::size_t n) {
-        std::string text = got_.substr(0, n);
-        got_.erase(0, n);
+        std::string text = received_.substr(0, n);
+        received_.erase(0, n);
         return text;
     }
     bool more(int ms) {
         pollfd asked{fd_, POLLIN, 0};
-        if (over_ || poll(&asked, 1, ms) != 1) return false;
+        if (closed_ || poll(&asked, 1, ms) != 1) return false;
         char bytes[65536];
         const auto n = recv(fd_, bytes, sizeof bytes, 0);
-        if (n <= 0) return over_ = true, false;
-        got_.append(bytes, static_cast<std::size_t>(n));
+        if (n <= 0) {
+            closed_ = true;
+            return false;
+        }
+        received_.append(bytes, static_cast<std::size_t>(n));
         return true;
     }
     int fd_;
-    bool over_ = false;
-    std::string got_;
+    bool closed_ = false;
+    std::string received_;
 };
 
-class Door {  // a listening stand-in; closed, its port refuses
+// A listening socket; while it is not open, its port refuses connections.
+class StubServer {
   public:
-    explicit Door(bool open = true) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    explicit StubServer(bool open = true) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         const int yes = 1;
         setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
-        sockaddr_in at = Line::address(0);
+        sockaddr_in at = TestConnection::address(0);
         socklen_t size = sizeof at;
         REQUIRE(bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
         REQUIRE(getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size) == 0);
         port = ntohs(at.sin_port);
         if (open) this->open();
     }
-    ~Door() { ::close(fd_); }
+    ~StubServer() { ::close(fd_); }
     void open(int queue = 64) { REQUIRE(listen(fd_, queue) == 0); }
-    bool knocked(int ms) {
+    // Whether a connection is waiting to be accepted within `ms`.
+    bool has_connection(int ms) {
         pollfd asked{fd_, POLLIN, 0};
         return poll(&asked, 1, ms) == 1;
     }
-    Line accept() {
-        if (!knocked(patience_ms)) FAIL("nobody connects");
-        return Line(::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
+    TestConnection accept() {
+        if (!has_connection(timeout_ms)) FAIL("nobody connects");
+        return TestConnection(::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(port); }
     int port = 0;
@@ -132,11 +140,10 @@
     int fd_;
 };
 
-// The program with a configuration of its own. `place` is reserved but not listened on, so nobody else has
-// it.
-class Gateway {
+// A gateway process with its own configuration file and log.
+class GatewayProcess {
   public:
-    explicit Gateway(const std::string& configuration, const std::string& level = "debug") {
+    explicit GatewayProcess(const std::string& configuration, const std::string& level = "debug") {
         char name[] = "/tmp/dewweir-test-XXXXXX";
         REQUIRE(mkdtemp(name));
         folder_ = name;
@@ -144,7 +151,7 @@
         pid_ = fork();
         if (pid_ == 0) {
             prctl(PR_SET_PDEATHSIG,
-                  SIGKILL);  // a gateway left over would call at ports that others have by now
+                  SIGKILL);  // a leftover gateway would connect to ports that other tests have reused
             setenv("EDGE_CONFIG", (folder_ + "/config.json").c_str(), 1);
             setenv("DEWWEIR_LOG", level.c_str(), 1);
             const int log = ::open((folder_ + "/log").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600);
@@ -153,8 +160,11 @@
             _exit(127);
         }
     }
-    ~Gateway() {
-        if (pid_ > 0) kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
+    ~GatewayProcess() {
+        if (pid_ > 0) {
+            kill(pid_, SIGKILL);
+            waitpid(pid_, nullptr, 0);
+        }
         unlink((folder_ + "/config.json").c_str());
         unlink((folder_ + "/log").c_str());
         rmdir(folder_.c_str());
@@ -162,10 +172,10 @@
     void configure(const std::string& text) { std::ofstream(folder_ + "/config.json") << text; }
     void signal(int number) { kill(pid_, number); }
     pid_t pid() const { return pid_; }
-    // Its exit code; -1 if it is still running after the wait, or was killed.
-    int ends() {
+    // Exit code; -1 if it is still running after the timeout, or was killed.
+    int wait_for_exit() {
         int status = 0;
-        for (int waited = 0; waited < patience_ms; waited += 5) {
+        for (int waited = 0; waited < timeout_ms; waited += 5) {
             if (waitpid(pid_, &status, WNOHANG) == pid_) {
                 pid_ = -1;
                 return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
