--- a/src/net/configuration.h
+++ b/src/net/configuration.h
@@ -52,8 +52,8 @@
     Time upstream_idle_close = 0;                          // when hosts close idle connections
     Time counter_timeout = 0;                              // of one call to the counter
     Time ask_within = 0;  // time within which a lost watch must be requested again
-    bool watch_on_request =
-        false;  // discovery sends lists only on request; the decision module starts the watch
+    // Discovery sends lists only on request; the decision module starts the watch.
+    bool watch_on_request = false;
     Level log_level = Level::info;
 };
 
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -30,6 +30,7 @@
     bool chunked_requests = false;
 };
 
+// Reader for requests or responses, limited by HttpLimits.
 class HttpReader {
   public:
     enum class State { more, complete, bad };
--- a/src/net/request_framing.h
+++ b/src/net/request_framing.h
@@ -1,4 +1,4 @@
-// Validates how the bytes of a request are split into lines and chunks before http-parser reads them. http-
+// Validates how the bytes of a request are split into lines and chunks before http-parser reads them. The
 // parser accepts bare line feeds, folded fields and space before a colon; two readers that split differently
 // see different requests (request smuggling; RFC 9112, sections 2.2, 5.1, 5.2 and 7.1). Holds no bytes.
 #pragma once
