--- a/src/errors/bad_file.h
+++ b/src/errors/bad_file.h
@@ -1,5 +1,5 @@
-// What is wrong with a file that a person wrote, said so that it can be mended: where, what was found, what
-// is allowed. Every reader of such files lists all it finds before it gives up.
+// Errors in a file that a person wrote: where, what was found, and what is allowed. Every reader of such
+// files reports all errors at once.
 #pragma once
 
 #include <string>
@@ -10,9 +10,9 @@
 
 namespace dewweir::errors {
 
-struct Complaint {
+struct FileProblem {
     std::string file;
-    int line = 0;  // from 1; 0: none can be named
+    int line = 0;  // from 1; 0 if unknown
     std::string key, what;
 
     std::string text() const {
@@ -25,20 +25,19 @@
 };
 
 struct BadFile : Of<Kind::bad_file> {
-    explicit BadFile(std::vector<Complaint> list)
+    explicit BadFile(std::vector<FileProblem> list)
         : Of("", list.empty() ? "nothing is wrong" : joined(list)), all(std::move(list)) {}
-    std::vector<Complaint> all;
+    std::vector<FileProblem> all;
 
   private:
-    static std::string joined(const std::vector<Complaint>& list) {
+    static std::string joined(const std::vector<FileProblem>& list) {
         std::string lines;
-        for (const Complaint& one : list) lines += (lines.empty() ? "" : "\n") + one.text();
+        for (const FileProblem& one : list) lines += (lines.empty() ? "" : "\n") + one.text();
         return lines;
     }
 };
 
-// The one of `known` that `name` was most likely meant to be, as `; did you mean X?`; empty where none is
-// near.
+// `; did you mean X?` for the closest name in `known`; empty if none is close.
 std::string did_you_mean(const std::string& name, const std::vector<std::string>& known);
 
 }  // namespace dewweir::errors
--- a/src/gateway/front_end.cpp
+++ b/src/gateway/front_end.cpp
@@ -46,7 +46,7 @@
     });
     for (const ClientId id : idle) {
         Client& client = *clients_.find(id);
-        if (loop_.connections().quiet(client.connection)) close(id, client);
+        if (loop_.connections().is_quiet(client.connection)) close(id, client);
     }
 }
 
@@ -56,7 +56,8 @@
 }
 
 void FrontEnd::accepted(asio::ip::tcp::socket socket) {
-    if (!loop_.connections().room(reserved_connection_fraction)) return;  // the socket's destructor closes it
+    if (!loop_.connections().has_room(reserved_connection_fraction))
+        return;  // the socket's destructor closes it
     const ClientId id = clients_.add(reader_limits_);
     if (!id) return;
     Client& client = *clients_.find(id);
@@ -76,7 +77,7 @@
 }
 
 void FrontEnd::set_deadline(ClientId id, Client& client, runtime::Time from_now) {
-    loop_.deadlines().drop(client.deadline);
+    loop_.deadlines().cancel(client.deadline);
     client.deadline = loop_.deadlines().after(from_now, [this, id] { deadline_passed(id); });
 }
 
@@ -124,10 +125,10 @@
 }
 
 void FrontEnd::handle_body(ClientId id, Client& client) {
-    if (client.reader.whole()) {
+    if (client.reader.complete()) {
         client.state = State::responding;
         client.request_ended_at = loop_.now();
-        loop_.deadlines().drop(client.deadline);
+        loop_.deadlines().cancel(client.deadline);
     } else {
         set_deadline(id, client, runtime::tenths(limits_.idle_timeout));
     }
@@ -136,19 +137,19 @@
     // Bytes that the handler did not take stay in the reader until `resume_reading`.
     if (!remaining || remaining->state != State::reading_body || !remaining->reader.body().empty()) return;
     if (!loop_.connections().in(remaining->connection).empty())
-        loop_.connections().again(remaining->connection);
+        loop_.connections().redeliver(remaining->connection);
 }
 
 void FrontEnd::send_continue(Client& client) {
     if (!client.reader.begun() || client.reader.body_read() > 0) return;
-    if (!net::same_word(client.reader.field("Expect"), "100-continue")) return;
+    if (!net::equal_ignoring_case(client.reader.field("Expect"), "100-continue")) return;
     loop_.connections().send(client.connection, {"HTTP/1.1 100 Continue\r\n\r\n"});
 }
 
 void FrontEnd::handle_head(ClientId id) {
     Client* client = clients_.find(id);
-    loop_.deadlines().drop(client->deadline);
-    client->state = client->reader.whole() ? State::responding : State::reading_body;
+    loop_.deadlines().cancel(client->deadline);
+    client->state = client->reader.complete() ? State::responding : State::reading_body;
     client->request_ended_at = loop_.now();
     handler_.request_started(id, client->reader);
     client = clients_.find(id);
@@ -161,7 +162,7 @@
     Client* const client = clients_.find(id);
     if (!client) return;
     if (client->state == State::reading_body || client->state == State::responding)
-        loop_.connections().again(client->connection);
+        loop_.connections().redeliver(client->connection);
 }
 
 // Responds to an invalid request and closes the connection: what follows cannot be read as a request.
@@ -231,34 +232,34 @@
 }
 
 void FrontEnd::response_complete(ClientId id, Client& client) {
-    loop_.deadlines().drop(client.deadline);
+    loop_.deadlines().cancel(client.deadline);
     if (client.close_after_response) {
-        loop_.connections().finish(client.connection);
+        loop_.connections().close_gracefully(client.connection);
         clients_.remove(id);
         return;
     }
     await_request(id, client);
-    loop_.connections().again(client.connection);
+    loop_.connections().redeliver(client.connection);
 }
 
 void FrontEnd::abort(ClientId id) {
     Client* const client = clients_.find(id);
     if (!client) return;
-    loop_.deadlines().drop(client->deadline);
+    loop_.deadlines().cancel(client->deadline);
     loop_.connections().reset(client->connection);
     clients_.remove(id);
 }
 
 std::size_t FrontEnd::unsent_bytes(ClientId id) {
     const Client* const client = clients_.find(id);
-    return client ? loop_.connections().unsent(client->connection) : 0;
+    return client ? loop_.connections().unsent_bytes(client->connection) : 0;
 }
 
 void FrontEnd::ended(net::Handle, std::uint32_t id) {
     Client* const client = clients_.find(id);
     if (!client) return;
     const bool handler_notified = client->state == State::reading_body || client->state == State::responding;
-    loop_.deadlines().drop(client->deadline);
+    loop_.deadlines().cancel(client->deadline);
     clients_.remove(id);
     if (handler_notified) handler_.client_disconnected(id);
 }
@@ -276,7 +277,7 @@
 }
 
 void FrontEnd::close(ClientId id, Client& client) {
-    loop_.deadlines().drop(client.deadline);
+    loop_.deadlines().cancel(client.deadline);
     loop_.connections().close(client.connection);
     clients_.remove(id);
 }
--- a/src/gateway/front_end.h
+++ b/src/gateway/front_end.h
@@ -40,7 +40,7 @@
     virtual void client_writable(ClientId client) = 0;
 };
 
-class FrontEnd : net::User {
+class FrontEnd : net::ConnectionHandler {
   public:
     FrontEnd(runtime::EventLoop& loop, ClientRequestHandler& handler);
 
--- a/src/gateway/process.cpp
+++ b/src/gateway/process.cpp
@@ -219,7 +219,7 @@
 
     bool idle() {
         return proxy_.open_requests() == 0 && proxy_.front_end().connections() == 0 &&
-               loop_.connections().finishing() == 0;
+               loop_.connections().closing() == 0;
     }
 
     void continue_shutdown() {
--- a/src/gateway/proxy.cpp
+++ b/src/gateway/proxy.cpp
@@ -102,7 +102,8 @@
     request.attempt_id = attempt_id;
     request.method = http_method_str(static_cast<http_method>(reader.method()));
     request.target = reader.target();
-    reader.pass_on(request.fields, {"Authorization", "X-Tenant", "X-Time-Left-Ms", "X-Expect-Instance"});
+    reader.append_forwarded_fields(request.fields,
+                                   {"Authorization", "X-Tenant", "X-Time-Left-Ms", "X-Expect-Instance"});
     request.chunked = reader.chunked();
     const runtime::Time deadline = runtime::tenths(request.routed.route->deadline);
     const runtime::Time client_limit = parse_time_left(reader.field("X-Time-Left-Ms")).value_or(deadline);
@@ -128,7 +129,7 @@
     if (request.body.size() >= max_buffered_body_bytes) return;
     request.body.append(reader.body());
     reader.body().clear();
-    request.complete = reader.whole();
+    request.complete = reader.complete();
     const bool enough = request.complete || request.body.size() >= max_buffered_body_bytes;
     if (enough && !request.quota_checked) check_quota(id, request);
 }
@@ -149,7 +150,7 @@
 // While the host reads slowly, the body stays in the client's reader until `attempt_writable`.
 void Proxy::forward_body(Request& request, net::HttpReader& reader) {
     if (!request.attempt || upstreams_.unsent_bytes(request.attempt) > max_unsent_bytes) return;
-    request.complete = reader.whole();
+    request.complete = reader.complete();
     upstreams_.send_request_body(request.attempt, reader.body(), request.complete);
     reader.body().clear();
 }
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -118,7 +118,7 @@
     const auto found = calls_.extract({tenant, sequence});
     if (!found) return;  // the call has timed out, and the local bucket has decided
     Call& call = found.mapped();
-    loop_.deadlines().drop(call.deadline);
+    loop_.deadlines().cancel(call.deadline);
     if (call.holder != self_) {
         last_answer_at_ = loop_.now();
         Holder& holder = holders_[call.holder];
--- a/src/gateway/service_pool.cpp
+++ b/src/gateway/service_pool.cpp
@@ -62,7 +62,7 @@
 }
 
 ServicePool::~ServicePool() {
-    for (auto& [token, key] : timers_) loop_.deadlines().drop(key);
+    for (auto& [token, key] : timers_) loop_.deadlines().cancel(key);
 }
 
 bool ServicePool::contains(const Endpoint& endpoint) const {
@@ -129,7 +129,7 @@
 void ServicePool::cancel_timer(std::uint64_t token) {
     const auto found = timers_.find(token);
     if (found == timers_.end()) return;
-    loop_.deadlines().drop(found->second);
+    loop_.deadlines().cancel(found->second);
     timers_.erase(found);
 }
 
--- a/src/gateway/upstreams.cpp
+++ b/src/gateway/upstreams.cpp
@@ -95,9 +95,9 @@
         const AttemptId id = host.idle.back();
         host.idle.pop_back();
         Connection& connection = *connections_.find(id);
-        loop_.deadlines().drop(connection.deadline);
+        loop_.deadlines().cancel(connection.deadline);
         // A connection that has received bytes or its end since its last response is not reused.
-        if (loop_.connections().quiet(connection.socket)) return id;
+        if (loop_.connections().is_quiet(connection.socket)) return id;
         close(id);
     }
     return 0;
@@ -105,7 +105,7 @@
 
 AttemptId Upstreams::open_connection(EndpointId endpoint, Host& host) {
     if (host.connections >= host.max_connections) return 0;
-    if (!loop_.connections().room(reserved_connection_fraction)) return 0;
+    if (!loop_.connections().has_room(reserved_connection_fraction)) return 0;
     const AttemptId id = connections_.add(endpoint);
     if (!id) return 0;
     const net::Handle socket = loop_.connections().open(host.address, *this, id, connect_timeout);
@@ -175,7 +175,7 @@
     const Connection* const connection = connections_.find(attempt);
     if (!connection) return 0;
     return connection->pending_output.size() +
-           (connection->established ? loop_.connections().unsent(connection->socket) : 0);
+           (connection->established ? loop_.connections().unsent_bytes(connection->socket) : 0);
 }
 
 void Upstreams::pause_response(AttemptId attempt) {
@@ -186,7 +186,7 @@
     Connection* const connection = connections_.find(attempt);
     if (!connection || !connection->paused) return;
     connection->paused = false;
-    loop_.connections().again(connection->socket);
+    loop_.connections().redeliver(connection->socket);
 }
 
 void Upstreams::abandon(AttemptId attempt) {
@@ -207,7 +207,8 @@
     connection->established = true;
     loop_.connections().send(connection->socket, {connection->pending_output});
     connection->pending_output = {};
-    if (loop_.connections().unsent(connection->socket) == 0) handler_.attempt_writable(connection->request);
+    if (loop_.connections().unsent_bytes(connection->socket) == 0)
+        handler_.attempt_writable(connection->request);
 }
 
 void Upstreams::received(net::Handle socket, std::uint32_t id) {
@@ -221,21 +222,21 @@
     const net::HttpReader::State state = connection->reader.read(loop_.connections().in(socket));
     if (state == net::HttpReader::State::bad) return finish_attempt(id, AttemptOutcome::broken);
     if (connection->reader.head_read() && connection->reader.ends_with_connection() &&
-        !connection->reader.whole()) {
+        !connection->reader.complete()) {
         return finish_attempt(id, AttemptOutcome::broken);  // a truncated body could not be detected
     }
-    if (state == net::HttpReader::State::whole) return handle_response(id);
+    if (state == net::HttpReader::State::complete) return handle_response(id);
     if (connection->reader.head_read() && connection->reader.body().size() >= max_buffered_response_bytes)
         stream_response(id, *connection);
     const Connection* const remaining = connections_.find(id);
     // The rest of the ring is read in the next turn of the loop: no further event may follow to trigger it.
     if (remaining && remaining->request && !remaining->paused && !loop_.connections().in(socket).empty()) {
-        loop_.connections().again(socket);
+        loop_.connections().redeliver(socket);
     }
 }
 
 bool Upstreams::request_fully_sent(const Connection& connection) const {
-    return connection.request_complete && loop_.connections().unsent(connection.socket) == 0;
+    return connection.request_complete && loop_.connections().unsent_bytes(connection.socket) == 0;
 }
 
 // Whether the response belongs to this attempt: a host may send a surplus response to an earlier request
@@ -255,7 +256,7 @@
             return finish_attempt(id, AttemptOutcome::broken);
         connection.reader.next();
         if (connection.expects_no_body) connection.reader.expect_no_body();
-        loop_.connections().again(connection.socket);
+        loop_.connections().redeliver(connection.socket);
         return;
     }
     // The host cannot have executed a request whose last byte has not been sent to it.
@@ -274,7 +275,8 @@
     if (success && !connection.reader.has_field("X-Server-Seal")) return AttemptOutcome::broken;
     if (connection.reader.has_field("Content-Encoding")) return AttemptOutcome::broken;
     const bool has_transfer_coding = connection.reader.has_field("Transfer-Encoding");
-    if (has_transfer_coding && !net::same_word(connection.reader.field("Transfer-Encoding"), "chunked")) {
+    if (has_transfer_coding &&
+        !net::equal_ignoring_case(connection.reader.field("Transfer-Encoding"), "chunked")) {
         return AttemptOutcome::broken;
     }
     return AttemptOutcome::answered;
@@ -295,7 +297,8 @@
 UpstreamResponse Upstreams::take_response(Connection& connection) const {
     UpstreamResponse response;
     response.status = static_cast<int>(connection.reader.status());
-    connection.reader.pass_on(response.fields, {"X-Server-Load", "X-Instance-Id", "X-Cold-Ms"});
+    connection.reader.append_forwarded_fields(response.fields,
+                                              {"X-Server-Load", "X-Instance-Id", "X-Cold-Ms"});
     response.body = std::exchange(connection.reader.body(), {});
     response.length = connection.reader.stated_length();
     response.no_body = connection.expects_no_body || response.status == 204 || response.status == 304;
@@ -326,7 +329,7 @@
     if (!connection || !connection->request) return;
     const RequestId request = std::exchange(connection->request, 0);
     const EndpointId endpoint = connection->endpoint;
-    loop_.deadlines().drop(connection->deadline);
+    loop_.deadlines().cancel(connection->deadline);
     AttemptResult result;
     result.outcome = outcome;
     result.duration = loop_.now() - connection->started_at;
@@ -365,7 +368,7 @@
 void Upstreams::close(AttemptId id) {
     Connection* const connection = connections_.find(id);
     if (!connection) return;
-    loop_.deadlines().drop(connection->deadline);
+    loop_.deadlines().cancel(connection->deadline);
     if (connection->socket) loop_.connections().close(connection->socket);
     const EndpointId endpoint = connection->endpoint;
     connections_.remove(id);
--- a/src/gateway/upstreams.h
+++ b/src/gateway/upstreams.h
@@ -72,7 +72,7 @@
     bool expects_no_body = false;  // the response has no body: the method is HEAD
 };
 
-class Upstreams : net::User {
+class Upstreams : net::ConnectionHandler {
   public:
     Upstreams(runtime::EventLoop& loop, AttemptHandler& handler);
 
--- a/src/net/check.cpp
+++ b/src/net/check.cpp
@@ -13,11 +13,11 @@
 
 using nlohmann::json;
 
-// Where each key of a JSON text stands: its path with list places, `known.members.0.id`, and its line from 1.
+// Line number, from 1, of each key of a JSON text, by path with list indices such as `known.members.0.id`.
 class Lines {
   public:
     explicit Lines(const std::string& text) : text_(text) { value(""); }
-    // Of the key, or of the nearest there is above it.
+    // Line of the key or of its nearest ancestor; 0 if none.
     int of(std::string path) const {
         for (;;) {
             if (const auto found = lines_.find(path); found != lines_.end()) return found->second;
@@ -58,8 +58,14 @@
         for (std::size_t n = 0;; ++n) {
             space();
             if (at_ >= text_.size()) return;
-            if (text_[at_] == closes) return ++at_, static_cast<void>(0);
-            if (text_[at_] == ',') ++at_, space();
+            if (text_[at_] == closes) {
+                ++at_;
+                return;
+            }
+            if (text_[at_] == ',') {
+                ++at_;
+                space();
+            }
             std::string name = std::to_string(n);
             const int line = line_;
             if (opens == '{') {
@@ -79,7 +85,7 @@
     std::map<std::string, int> lines_;
 };
 
-// Acts on nobody: a Decisions object is made for what it says of its settings.
+// Does nothing: the Decisions object is created only to validate its settings.
 struct Nobody : Gateway {
     void start_attempt(std::uint32_t, std::uint32_t, Time) override {}
     void refuse(std::uint32_t, Time) override {}
@@ -93,8 +99,8 @@
     void report_decisions(const DecisionCounts&) override {}
 };
 
-// What is missing or unreadable among the settings, one after the other: each is put right before the next is
-// looked for.
+// Missing or unreadable settings. The decision module reports the first one only, so each is corrected before
+// the next attempt.
 std::vector<errors::BadSetting> setting_faults(Settings settings) {
     std::vector<errors::BadSetting> all;
     Nobody nobody;
@@ -103,7 +109,7 @@
             Decisions(nobody, settings, 1, 0);
             return all;
         } catch (const errors::BadSetting& fault) {
-            const std::string& name = fault.to_what();
+            const std::string& name = fault.subject();
             all.push_back(fault);
             settings[name] =
                 name.size() > 8 && name.compare(name.size() - 8, 8, ".repeats") == 0 ? "retriable" : "1";
@@ -121,7 +127,7 @@
 
 }  // namespace
 
-std::vector<errors::Complaint> check_configuration(const std::string& text, const std::string& file) {
+std::vector<errors::FileProblem> check_configuration(const std::string& text, const std::string& file) {
     json read;
     try {
         read = json::parse(text);
@@ -134,20 +140,21 @@
     }
     if (!read.is_object()) return {{file, 1, "", "must be a JSON object"}};
     const Lines lines(text);
-    std::vector<errors::Complaint> all;
+    std::vector<errors::FileProblem> all;
     Settings settings;
     for (const errors::BadSetting& fault : configuration_faults(text, settings)) {
-        const std::string& key = fault.to_what();
+        const std::string& key = fault.subject();
         const std::string near = fault.missing ? errors::did_you_mean(key, keys_of(read)) : "";
         all.push_back({file, lines.of(key), key, fault.happened() + near});
     }
     for (const errors::BadSetting& fault : setting_faults(settings)) {
-        const std::string name = "settings." + operator_name(fault.to_what());
+        const std::string name = "settings." + operator_name(fault.subject());
         all.push_back(
-            {file, lines.of(name), name, fault.happened() + " (" + fault.to_what() + " in our words)"});
+            {file, lines.of(name), name, fault.happened() + " (" + fault.subject() + " in our words)"});
     }
-    std::stable_sort(all.begin(), all.end(),
-                     [](const errors::Complaint& a, const errors::Complaint& b) { return a.line < b.line; });
+    std::stable_sort(all.begin(), all.end(), [](const errors::FileProblem& a, const errors::FileProblem& b) {
+        return a.line < b.line;
+    });
     return all;
 }
 
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -1,6 +1,7 @@
-// The clients' side: owns the listening socket and what is known of each client's connection. It reads and
-// checks requests, hands them on, and writes their one answer. It must never answer by its own choice, but
-// for what is no request at all; nor end a connection that has something unread or unanswered.
+// The client side of a gateway: owns the listening socket and the state of each client connection. Reads and
+// validates requests, passes them on to a RequestHandler and writes exactly one response to each. Only
+// messages that are not valid requests and readiness probes are answered here; a connection with unread
+// input or an unanswered request is never closed.
 #pragma once
 
 #include <functional>
@@ -10,32 +11,41 @@
 
 namespace dewweir::net {
 
-struct ReceivedRequest {  // a request as a client put it
-    int route_class, plan;
+// A validated client request.
+struct ReceivedRequest {
+    int route_class;  // index into Configuration::route_classes
+    int quota_plan;   // index into Configuration::plans
     std::uint64_t tenant;
-    double units;
-    int gateways;
-    Time patience;
-    std::string id;          // the client's own
-    std::string head, body;  // as it goes to a host: the first line, and the fields that pass through
+    double units;            // quota units that the request costs
+    int gateways;            // number of gateways that the tenant's requests are spread over
+    Time time_limit;         // time until the client's deadline
+    std::string id;          // X-Request-Id as chosen by the client
+    std::string head, body;  // as forwarded: request line and forwarded header fields, without the deadline
 };
 
-class Intake {
+// Receives the validated requests.
+class RequestHandler {
   public:
-    virtual ~Intake() = default;
-    virtual Handle request_received(Handle client,
-                                    ReceivedRequest&& received) = 0;  // 0: no room for it
-    virtual bool has_open(const std::string& id) const = 0;
-    virtual void client_gone(Handle request) = 0;
+    virtual ~RequestHandler() = default;
+    // Takes a request and returns its handle, or 0 when there is no capacity for it. May answer within the
+    // call.
+    virtual Handle request_received(Handle client, ReceivedRequest&& received) = 0;
+    // Whether a request with this X-Request-Id is open.
+    virtual bool is_open(const std::string& id) const = 0;
+    // The client closed its connection before its request was answered.
+    virtual void client_disconnected(Handle request) = 0;
 };
 
-class Clients : public User, Part {
+// Listens for clients and handles one request at a time per connection (HTTP/1.1 keep-alive).
+class Clients : public ConnectionHandler, NodeContext {
   public:
-    Clients(const Part& part, Intake& intake);
+    Clients(const NodeContext& context, RequestHandler& handler);
 
-    // The one answer to what this client has open.
+    // Sends the single response to the open request of this client. `fields`: header fields, each ended by CR
+    // LF.
     void answer(Handle client, int status, std::string_view fields, std::string_view body);
-    // A planned end: no longer ready; `done` comes when the last client has its answer and has been let go.
+    // Starts a graceful shutdown: readiness fails from now on; calls `done` once the last client was answered
+    // and its connection closed.
     void stop(std::function<void()> done);
 
     void received(Handle, std::uint32_t mark) override;
@@ -46,35 +56,36 @@
     struct Client {
         HttpReader reader{HTTP_REQUEST};
         Handle connection = 0, request = 0;
-        bool busy = false, last = false;  // `last`: its answer ends the connection
-        bool known = false;               // has sent a whole message
-        bool late = false;                // its message has a limit from its first byte
-        Time idle_since = 0;              // since it was opened, or answered last
-        Deadlines::Key limit{};           // to send a message, to read its answer, or to stand idle
+        bool busy = false;              // a request is open
+        bool closing = false;           // the connection closes after the next response
+        bool has_sent_message = false;  // has sent at least one complete message
+        bool message_timed = false;     // the message being read has its deadline already
+        Time idle_since = 0;            // when the connection was opened or last answered
+        Deadlines::Key deadline{};      // to send a message, to read the response, or to stay idle
     };
 
     void accept();
-    void accept_later();
-    void welcome(tcp::socket socket);
-    bool idle(Client& client);
-    void limit(Handle mark, Client& client, Time within);
-    void overdue(Handle mark);
-    void make_room();
-    void whole_message(Handle mark, Client& client);
-    std::string_view what_is_wrong(HttpReader& reader, ReceivedRequest& received) const;
-    void plain(Client& client, int status, std::string_view why);
+    void retry_accept_later();
+    void add_client(tcp::socket socket);
+    bool is_idle(Client& client);
+    void set_deadline(Handle mark, Client& client, Time from_now);
+    void deadline_passed(Handle mark);
+    void close_longest_idle();
+    void handle_message(Handle mark, Client& client);
+    std::string_view parse_request(HttpReader& reader, ReceivedRequest& received) const;
+    void answer_text(Client& client, int status, std::string_view why);
     void write(Client& client, int status, std::string_view fields, std::string_view body);
-    void rest(Handle mark, Client& client);
-    void let_go(Handle mark, Client& client);
-    void forget(Handle mark, Client& client);
+    void await_next_request(Handle mark, Client& client);
+    void close_after_answer(Handle mark, Client& client);
+    void remove(Handle mark, Client& client);
     void close_idle(Handle mark);
     void close_all_idle();
 
-    Intake& intake_;
+    RequestHandler& handler_;
     tcp::acceptor acceptor_;
     Slots<Client> clients_;
-    std::size_t known_ = 0;  // how many of them have sent a whole message
-    bool stopping_ = false, crowded_ = false;
+    std::size_t active_clients_ = 0;  // clients that have sent at least one complete message
+    bool stopping_ = false, short_of_sockets_ = false;
     std::function<void()> done_;
 };
 
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -1,6 +1,6 @@
-// The watch on discovery: owns its connection and the revision reached. It must never wait behind anything
-// else, and takes no list older than the one it has, unless the source has
-// been behind for so long that its revisions must have begun anew.
+// Watch on the discovery service: owns the connection to it and the last revision received. Lists older than
+// that revision are ignored, unless the source stays behind for so long that its revisions must have been
+// reset; then the client resyncs.
 #pragma once
 
 #include <memory>
@@ -10,40 +10,43 @@
 
 namespace dewweir::net {
 
-class ListNews {
+// Receives host lists.
+class HostListListener {
   public:
-    virtual ~ListNews() = default;
-    virtual void list_told(const Listing& listing) = 0;
-    virtual void list_failed() = 0;
+    virtual ~HostListListener() = default;
+    virtual void host_list_received(const HostList& listing) = 0;
+    // The watch has ended; it is not restarted until `Discovery::watch` is called.
+    virtual void watch_failed() = 0;
 };
 
-class Discovery : public User, Part {
+class Discovery : public ConnectionHandler, NodeContext {
   public:
-    Discovery(const Part& part, ListNews& news);
+    Discovery(const NodeContext& context, HostListListener& listener);
 
-    void follow();  // nothing where the watch is up already
-    // Another address now: watched at once, and its first word is taken whatever its revision.
-    void move_to(const tcp::endpoint& address);
+    void watch();  // starts the watch from the last revision; no effect while one is active
+    // Changes the address and resyncs at once: the first list is accepted whatever its revision.
+    void set_address(const tcp::endpoint& address);
 
-    void opened(Handle, std::uint32_t, bool up) override;
+    void opened(Handle, std::uint32_t, bool connected) override;
     void received(Handle, std::uint32_t) override;
     void ended(Handle, std::uint32_t) override;
 
   private:
-    void lost(const std::string& why);
-    void older(const Listing& listing);
-    void take_anew();
-    void ask_anew();
-    void heard();
+    void watch_lost(const std::string& why);
+    void handle_older_list(const HostList& listing);
+    void resync_if_behind();
+    void resync();
+    void restart_silence_timer();
 
-    ListNews& news_;
+    HostListListener& listener_;
     tcp::endpoint address_;
     Handle connection_ = 0;
     std::unique_ptr<HttpReader> reader_;
     std::uint64_t revision_;
-    Deadlines::Key silence_{};
-    Deadlines::Key anew_{};  // since a whole list was older than ours, and none has been as new
-    bool behind_ = false;    // the last word was older
+    Deadlines::Key silence_timer_{};
+    Deadlines::Key
+        resync_timer_{};   // runs since a complete list was older than `revision_`, until a current one comes
+    bool behind_ = false;  // the last list was older than `revision_`
 };
 
 }  // namespace dewweir::net
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,6 +1,6 @@
-// The log: owns the stream that lines go to, with a level filter. It must never hold up the loop: lines
-// beyond its allowance or while the stream's reader lags are counted and not written, repeats are counted
-// once.
+// Log of a gateway: writes one line per event to a stream, filtered by level. Logging never blocks the event
+// loop: lines beyond the rate limit, or while the reader of the stream lags, are counted and dropped;
+// consecutive repeats are collapsed.
 #pragma once
 
 #include <chrono>
@@ -16,7 +16,7 @@
 
 namespace dewweir::net {
 
-// One typed value of an event.
+// A named, typed value of an event.
 struct Field {
     std::string_view name;
     std::variant<std::string_view, std::int64_t, const std::vector<std::int64_t>*> value;
@@ -24,22 +24,27 @@
 
 using Fields = std::initializer_list<Field>;
 
-// How a line is written, without its end; `unix_ms` is when. Handed in, so that the platform's program
-// carries no form but its own.
-using LineForm = std::string (*)(std::int64_t unix_ms, const EventKind& kind, const std::string& text,
-                                 Fields fields);
+// Formats a line without its line end; `unix_ms` is the time of the event. Passed in, so that the gateway
+// program links only its own format.
+using LineFormat = std::string (*)(std::int64_t unix_ms, const EventKind& kind, const std::string& text,
+                                   Fields fields);
 std::string text_line(std::int64_t unix_ms, const EventKind& kind, const std::string& text, Fields fields);
 
 class Log {
   public:
-    // `descriptor` is what the stream writes to; it is asked whether it takes a line. -1: always. `lines` a
-    // second are written at the most.
-    Log(std::ostream& out, int descriptor, Level most, int lines = 100, LineForm form = text_line)
-        : out_(out), descriptor_(descriptor), most_(most), lines_(lines), form_(form) {}
+    // `descriptor`: file descriptor behind `out`, polled for writability before each line; -1 disables the
+    // check. At most `lines_per_second` lines are written.
+    Log(std::ostream& out, int descriptor, Level max_level, int lines_per_second = 100,
+        LineFormat format = text_line)
+        : out_(out),
+          descriptor_(descriptor),
+          max_level_(max_level),
+          lines_per_second_(lines_per_second),
+          format_(format) {}
     ~Log() { flush_repeats(); }
-    bool shows(Event event) const { return kind_of(event).level <= most_; }
-    // `text` is for people, the fields for programs; text lines have the first, JSON both.
-    void tell(Event event, std::string text, Fields fields = {});
+    bool shows(Event event) const { return kind_of(event).level <= max_level_; }
+    // Logs an event. Text lines contain `text` only, JSON lines also the fields.
+    void record(Event event, std::string text, Fields fields = {});
 
   private:
     bool writable() const;
@@ -49,13 +54,13 @@
 
     std::ostream& out_;
     int descriptor_;
-    Level most_;
-    int lines_;
-    LineForm form_;
-    std::string last_;  // event and text
-    std::int64_t repeats_ = 0, left_out_ = 0;
+    Level max_level_;
+    int lines_per_second_;
+    LineFormat format_;
+    std::string last_line_;  // event name and text of the last line
+    std::int64_t repeats_ = 0, lines_dropped_ = 0;
     int allowance_ = 0;
-    std::chrono::steady_clock::time_point filled_{};
+    std::chrono::steady_clock::time_point allowance_set_at_{};
 };
 
 }  // namespace dewweir::net
--- a/src/net/part.h
+++ b/src/net/part.h
@@ -1,5 +1,5 @@
-// What every part of a gateway works with; owned by the node. A part must never keep any of it alive on its
-// own.
+// References shared by the components of a gateway (clients, hosts, counter, discovery, peers). The objects
+// are owned by the Node and outlive the components.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,12 +11,13 @@
 
 namespace dewweir::net {
 
-struct Part {
+// Components inherit privately from it, hence the member names.
+struct NodeContext {
     asio::io_context& io_;
     Deadlines& deadlines_;
     Connections& connections_;
     Log& log_;
-    const Configuration& told_;
+    const Configuration& configuration_;
 };
 
 }  // namespace dewweir::net
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -20,7 +20,7 @@
 constexpr int max_datagrams_per_turn = 256;  // so that client connections on the loop are served in between
 
 udp::endpoint endpoint_of(const std::string& key, const std::string& text) {
-    const auto at = net::address_of(key, text);
+    const auto at = net::parse_address(key, text);
     return {at.address(), at.port()};
 }
 Address number_of(const udp::endpoint& at) {
@@ -50,7 +50,7 @@
     return options;
 }
 
-Peers::Peers(const net::Part& part, net::ReportReceiver& report_receiver, const MembersFile& file,
+Peers::Peers(const net::NodeContext& part, net::ReportReceiver& report_receiver, const MembersFile& file,
              const std::string& name, std::uint64_t seed, std::uint64_t instance)
     : part_(part),
       file_(file),
@@ -84,8 +84,8 @@
 
 Peers::~Peers() {
     *alive_ = false;
-    part_.deadlines_.drop(next_);
-    part_.deadlines_.drop(next_check_);
+    part_.deadlines_.cancel(next_);
+    part_.deadlines_.cancel(next_check_);
     std::error_code ignored;
     socket_.close(ignored);
 }
@@ -93,7 +93,7 @@
 void Peers::listen() {
     socket_.async_wait(udp::socket::wait_read, [this, alive = alive_](const std::error_code& fault) {
         if (!*alive || fault) return;
-        part_.deadlines_.turn();
+        part_.deadlines_.update_now();
         for (int n = 0; n < max_datagrams_per_turn; ++n) {
             std::error_code why;
             const std::size_t bytes = socket_.receive_from(asio::buffer(buffer_), from_, 0, why);
@@ -132,28 +132,28 @@
     if (next_check_.first <= now) {
         write_status(now);
         if (now / check_period % (refused_log_period / check_period) == 0) log_refused();
-        part_.deadlines_.drop(next_check_);
+        part_.deadlines_.cancel(next_check_);
         next_check_ = part_.deadlines_.after(check_period, [this] { turn(); });
     }
 }
 
-void Peers::host_found(const std::string& host, bool shut) {
+void Peers::host_status_changed(const std::string& host, bool shut) {
     if (!reports_) return;
     reports_->host_status_changed(part_.deadlines_.now(), host, shut);
     schedule_follow();
 }
 
-void Peers::host_asked(const std::string& host) {
+void Peers::attempt_started(const std::string& host) {
     if (!reports_) return;
     const Time due = reports_->attempt_started(part_.deadlines_.now(), host);
     if (due < next_.first) wake_at(due);
 }
 
-void Peers::host_ended(const std::string& host, AttemptOutcome outcome, Time took) {
+void Peers::attempt_ended(const std::string& host, AttemptOutcome outcome, Time took) {
     if (reports_) reports_->attempt_ended(part_.deadlines_.now(), host, outcome, took);
 }
 
-void Peers::list_told(const net::Listing& listing) {
+void Peers::host_list_received(const net::HostList& listing) {
     if (!reports_) return;
     reports_->host_list_received(part_.deadlines_.now(), listing);
     schedule_follow();
@@ -176,7 +176,7 @@
     asio::post(part_.io_, [this, alive = alive_] {
         if (!*alive) return;
         follow_scheduled_ = false;
-        part_.deadlines_.turn();
+        part_.deadlines_.update_now();
         follow();
     });
 }
@@ -205,7 +205,7 @@
 
 void Peers::wake_at(Time next) {
     const Time now = part_.deadlines_.now();
-    part_.deadlines_.drop(next_);
+    part_.deadlines_.cancel(next_);
     if (next - now < 1000 * check_period)
         next_ = part_.deadlines_.after(std::max<Time>(1, next - now), [this] { turn(); });
 }
@@ -214,7 +214,7 @@
     net::Log& log = part_.log_;
     for (const members::Update& one : members_.take_changes()) {
         const std::string at = text_of(one.address);
-        log.tell(
+        log.record(
             net::Event::members_state,
             "member " + one.name + " at " + at + ": " + members::name_of(one.state) +
                 (one.by.empty() ? "" : ", by " + one.by),
@@ -226,25 +226,26 @@
     const auto count = static_cast<std::int64_t>(live_count_.count());
     if (live_count_.cut_off() != cut_logged_) {
         cut_logged_ = live_count_.cut_off();
-        log.tell(cut_logged_ ? net::Event::members_cut_off : net::Event::members_healed,
-                 cut_logged_ ? "members: cut off: " + std::to_string(present) +
-                                   " members present; quotas stay divided by " + std::to_string(count)
-                             : "members: no longer cut off: " + std::to_string(present) + " members present",
-                 {{"present", present}, {"count", count}});
+        log.record(cut_logged_ ? net::Event::members_cut_off : net::Event::members_healed,
+                   cut_logged_
+                       ? "members: cut off: " + std::to_string(present) +
+                             " members present; quotas stay divided by " + std::to_string(count)
+                       : "members: no longer cut off: " + std::to_string(present) + " members present",
+                   {{"present", present}, {"count", count}});
     }
     if (live_count_.count() != count_logged_) {
         count_logged_ = live_count_.count();
-        log.tell(net::Event::members_count,
-                 "members: " + std::to_string(count) + " gateways share the quotas",
-                 {{"present", present}, {"count", count}});
+        log.record(net::Event::members_count,
+                   "members: " + std::to_string(count) + " gateways share the quotas",
+                   {{"present", present}, {"count", count}});
     }
     if (members_.replaced() && !replaced_logged_) {
         replaced_logged_ = true;
         const std::string at = text_of(members_.replaced_by());
-        log.tell(net::Event::members_replaced,
-                 "members: a later process uses the name " + name_ + ", at " + at +
-                     "; this one sends nothing more: stop one of the two",
-                 {{"address", at}});
+        log.record(net::Event::members_replaced,
+                   "members: a later process uses the name " + name_ + ", at " + at +
+                       "; this one sends nothing more: stop one of the two",
+                   {{"address", at}});
     }
 }
 
@@ -258,15 +259,16 @@
                        version = of(RejectReason::unknown_version), replayed = of(RejectReason::replayed),
                        strangers = of(RejectReason::stranger);
     refused_logged_ = refused_;
-    part_.log_.tell(net::Event::members_refused,
-                    "members: datagrams dropped: torn " + std::to_string(torn) + ", other deployment " +
-                        std::to_string(other) + ", unknown version " + std::to_string(version) +
-                        ", replayed " + std::to_string(replayed) + ", strangers " + std::to_string(strangers),
-                    {{"torn", torn},
-                     {"other_deployment", other},
-                     {"unknown_version", version},
-                     {"replayed", replayed},
-                     {"strangers", strangers}});
+    part_.log_.record(net::Event::members_refused,
+                      "members: datagrams dropped: torn " + std::to_string(torn) + ", other deployment " +
+                          std::to_string(other) + ", unknown version " + std::to_string(version) +
+                          ", replayed " + std::to_string(replayed) + ", strangers " +
+                          std::to_string(strangers),
+                      {{"torn", torn},
+                       {"other_deployment", other},
+                       {"unknown_version", version},
+                       {"replayed", replayed},
+                       {"strangers", strangers}});
 }
 
 json Peers::status(Time now) const {
@@ -314,8 +316,8 @@
     const bool held_up = status_->writing();
     if (!held_up) status_->write(status(now).dump(1) + '\n');
     if (status_->failed() || (held_up && !held_up_logged_))
-        part_.log_.tell(net::Event::members_status, "members: cannot write " + file_.status,
-                        {{"file", file_.status}});
+        part_.log_.record(net::Event::members_status, "members: cannot write " + file_.status,
+                          {{"file", file_.status}});
     held_up_logged_ = held_up;
 }
 
--- a/src/peers/words.cpp
+++ b/src/peers/words.cpp
@@ -73,11 +73,11 @@
     return totals_.record(now, name, total);
 }
 
-void ReportExchange::host_list_received(Time now, const net::Listing& listing) {
+void ReportExchange::host_list_received(Time now, const net::HostList& listing) {
     std::vector<verdicts::ListedHost> hosts;
-    for (const net::Entry& one : listing.entries)
+    for (const net::HostEntry& one : listing.entries)
         hosts.push_back({one.id, one.state == HostState::ready, one.up_since});
-    lists_.update_own_list(now, listing.revision, listing.whole, hosts);
+    lists_.update_own_list(now, listing.revision, listing.complete, hosts);
 }
 
 void ReportExchange::follow(Time now) {
--- a/src/peers/words.h
+++ b/src/peers/words.h
@@ -32,7 +32,7 @@
     bool publish_total(Time now, std::uint64_t name, double total);
     bool report_shortage(Time now, const QuotaShare& of, double units);
     double corroborated_total(Time now, std::uint64_t name) const { return totals_.corroborated(now, name); }
-    void host_list_received(Time now, const net::Listing& listing);
+    void host_list_received(Time now, const net::HostList& listing);
     void origin_removed(const std::string& origin) { observations_.origin_removed(origin); }
 
     // Publishes what is due, and delivers changed reports to the decisions. Must not be called from within a
--- a/src/program/http_exchange.cpp
+++ b/src/program/http_exchange.cpp
@@ -64,7 +64,7 @@
             ring.append({chunk_.data(), bytes_});
             const net::HttpReader::State state = reader.read(ring);
             if (state == net::HttpReader::State::bad) return ExchangeError::connection_lost;
-            if (state == net::HttpReader::State::whole) break;
+            if (state == net::HttpReader::State::complete) break;
         }
         HttpResponse response;
         response.status = static_cast<int>(reader.status());
--- a/tests/control/instance_poller.cpp
+++ b/tests/control/instance_poller.cpp
@@ -40,7 +40,7 @@
     void wait_until(const std::function<bool()>& condition) {
         const auto end = std::chrono::steady_clock::now() + test_timeout;
         while (!condition() && std::chrono::steady_clock::now() < end) {
-            loop.deadlines().run_passed();
+            loop.deadlines().run_due();
             loop.io().run_one_until(std::min(loop.deadlines().next(), end));
         }
         REQUIRE(condition());
--- a/tests/control_plane/replica_disk.cpp
+++ b/tests/control_plane/replica_disk.cpp
@@ -48,8 +48,8 @@
         const auto end = std::chrono::steady_clock::now() + bound;
         while (!condition()) {
             if (std::chrono::steady_clock::now() > end) return false;
-            loop.deadlines().turn();
-            loop.deadlines().run_passed();
+            loop.deadlines().update_now();
+            loop.deadlines().run_due();
             loop.io().run_one_until(std::min(loop.deadlines().next(), end));
         }
         return true;
--- a/tests/gateway_sockets/harness.h
+++ b/tests/gateway_sockets/harness.h
@@ -35,7 +35,7 @@
         const auto end = std::chrono::steady_clock::now() + wait_limit;
         while (!reached()) {
             if (std::chrono::steady_clock::now() > end) return false;
-            loop_.deadlines().run_passed();
+            loop_.deadlines().run_due();
             if (reached()) return true;
             loop_.io().run_one_until(std::min(loop_.deadlines().next(), end));
         }
@@ -47,7 +47,7 @@
         const auto end = std::chrono::steady_clock::now() + wait_limit;
         while (!reached()) {
             REQUIRE(std::chrono::steady_clock::now() < end);
-            loop_.deadlines().run_passed();
+            loop_.deadlines().run_due();
             if (!reached()) loop_.io().poll_one();
         }
     }
@@ -56,14 +56,14 @@
     void expire_list_lease() {
         const runtime::Time end = loop_.now();
         proxy_.set_list_valid_until(end);
-        while (loop_.now() <= end) loop_.deadlines().turn();
+        while (loop_.now() <= end) loop_.deadlines().update_now();
     }
 
     // Runs until no socket of this process is ready.
     void settle() {
         constexpr int quiet_turns = 200;
         for (int quiet = 0; quiet < quiet_turns; ++quiet) {
-            loop_.deadlines().run_passed();
+            loop_.deadlines().run_due();
             if (loop_.io().poll() > 0) quiet = 0;
         }
     }
--- a/tests/gateway_sockets/streams.cpp
+++ b/tests/gateway_sockets/streams.cpp
@@ -88,7 +88,7 @@
 TEST_CASE("A finishing connection sends all its data to a slow peer") {
     // Longer than a peer that has received everything is given to close.
     constexpr dewweir::Time longer_than_linger = 11000;
-    class IgnoringUser : public dewweir::net::User {
+    class IgnoringUser : public dewweir::net::ConnectionHandler {
         void received(dewweir::net::Handle, std::uint32_t) override {}
         void ended(dewweir::net::Handle, std::uint32_t) override {}
     };
@@ -103,7 +103,7 @@
     auto& connections = harness.loop().connections();
     const dewweir::net::Handle handle = connections.adopt(std::move(near), user, 0);
     connections.send(handle, {pattern(part_size)});
-    connections.finish(handle);
+    connections.close_gracefully(handle);
     bool lingered = false;
     harness.loop().deadlines().after(longer_than_linger, [&] { lingered = true; });
     REQUIRE(harness.run_until([&] { return lingered; }));
@@ -111,7 +111,7 @@
     harness.await_client_close(slow);
     CHECK_FALSE(slow.was_reset);
     CHECK(slow.received_bytes == part_size);
-    REQUIRE(harness.run_until([&] { return connections.finishing() == 0; }));
+    REQUIRE(harness.run_until([&] { return connections.closing() == 0; }));
 }
 
 TEST_CASE("A client that does not read stops reading from the host") {
