--- a/src/cli/members.cpp
+++ b/src/cli/members.cpp
@@ -130,7 +130,8 @@
     // A word's age grows where it is kept, not on its way: so much more at each hop.
     const verdicts::ObservationOptions observations;
     const Time on_ways = b.rounds * o.network.delay;
-    const Time orphan = observations.time_to_live + on_ways, oldest = observations.max_observation_age + orphan;
+    const Time orphan = observations.time_to_live + on_ways,
+               oldest = observations.max_observation_age + orphan;
     if (o.json) {
         json quotas = json::array();
         for (const PlanBounds& one : plans)
--- a/src/limits/rights.cpp
+++ b/src/limits/rights.cpp
@@ -10,8 +10,8 @@
 namespace dewweir::limits {
 namespace {
 
-using members::read_field;
 using members::GossipItem;
+using members::read_field;
 using nlohmann::json;
 
 const std::string prefix = "right/", request_prefix = prefix + "want/", loan_prefix = prefix + "loan/";
@@ -32,10 +32,10 @@
 bool read(const GossipItem& item, LoanRequest& into) {
     const json fields = members::decode_payload(item);
     std::uint64_t plan = 0, gateways = 0;
-    if (!fields.is_object() || !read_field(fields, "o", into.by) || !read_field(fields, "c", into.share.tenant) ||
-        !read_field(fields, "p", plan) || !read_field(fields, "g", gateways) ||
-        !take_amount(fields, "r", into.share.rate) || !take_amount(fields, "b", into.share.burst) ||
-        !take_amount(fields, "u", into.units))
+    if (!fields.is_object() || !read_field(fields, "o", into.by) ||
+        !read_field(fields, "c", into.share.tenant) || !read_field(fields, "p", plan) ||
+        !read_field(fields, "g", gateways) || !take_amount(fields, "r", into.share.rate) ||
+        !take_amount(fields, "b", into.share.burst) || !take_amount(fields, "u", into.units))
         return false;
     into.share.plan = static_cast<int>(std::min<std::uint64_t>(plan, 1 << 20));
     into.share.gateways = static_cast<int>(std::clamp<std::uint64_t>(gateways, 1, 1 << 20));
--- a/tests/limits/rights.cpp
+++ b/tests/limits/rights.cpp
@@ -145,13 +145,15 @@
     const auto step = [&](const std::function<void(World&)>& what) {
         World then = world;
         what(then);
-        for (const members::GossipItem& item : then.a.take_outgoing(then.now)) then.in_transit.push_back(item);
+        for (const members::GossipItem& item : then.a.take_outgoing(then.now))
+            then.in_transit.push_back(item);
         // Each loan has another amount, by which it is recognised.
         for (const LoanRequest& request : then.b.take_requests()) {
             then.lent.insert(then.next);
             then.b.record_loan(then.now, request, then.next++, LoanBalance::expiry_of(then.now));
         }
-        for (const members::GossipItem& item : then.b.take_outgoing(then.now)) then.in_transit.push_back(item);
+        for (const members::GossipItem& item : then.b.take_outgoing(then.now))
+            then.in_transit.push_back(item);
         for (const Loan& loan : then.a.take_loans()) then.credited.insert(loan.units);
         explore(then, depth - 1, forgetful, found);
     };
