--- a/tests/quota/schedule.cpp
+++ b/tests/quota/schedule.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 // The same values as in src/gateway/quota_client.cpp.
-constexpr microseconds shortest_wait{50'000};
-constexpr microseconds longest_wait{250'000};
-constexpr int round_trips_waited = 3;
+constexpr microseconds min_call_timeout{50'000};
+constexpr microseconds max_call_timeout{250'000};
+constexpr int timeout_round_trips = 3;
 constexpr int round_trip_smoothing = 8;
 // Demand::bursts: no requests, then for a moment all that were held back.
 constexpr milliseconds burst_period{2'500};
@@ -70,8 +70,8 @@
 
 class Schedule {
   public:
-    Schedule(const Plan& plan, std::uint64_t seed, Sabotage sabotage)
-        : plan_(plan), random_(seed ^ 0x9e3779b97f4a7c15), sabotage_(sabotage) {
+    Schedule(const Plan& plan, std::uint64_t seed, InjectedDefect defect)
+        : plan_(plan), random_(seed ^ 0x9e3779b97f4a7c15), defect_(defect) {
         for (int index = 0; index < plan.gateways; ++index) gateways_.emplace_back(++incarnations_);
         result_.plan = plan;
         result_.tenants.resize(plan.tenants.size());
@@ -147,7 +147,7 @@
         Gateway& here = gateway(index);
         ++result_.tenants[tenant].asked;
         const bool reachable = here.breaker.allows(agenda_.now());
-        const int sharing = sabotage_ == Sabotage::whole_bucket ? 1 : plan_.gateways;
+        const int sharing = defect_ == InjectedDefect::whole_bucket ? 1 : plan_.gateways;
         const Decision decision =
             here.admission.request(agenda_.now(), tenant, plan_.tenants[tenant].quota, sharing, reachable);
         const bool waits = decision.result == Admitted::pending;
@@ -166,9 +166,10 @@
     void call(int index, const Statement& statement, bool waits) {
         Gateway& here = gateway(index);
         here.calls[{statement.tenant, statement.sequence}] = {statement.tenant, waits, agenda_.now()};
-        const microseconds usual = round_trips_waited * here.round_trip;
+        const microseconds usual = timeout_round_trips * here.round_trip;
         const bool known = here.round_trip.count() > 0;
-        const microseconds wait = known ? std::clamp(usual, shortest_wait, longest_wait) : longest_wait;
+        const microseconds wait =
+            known ? std::clamp(usual, min_call_timeout, max_call_timeout) : max_call_timeout;
         agenda_.at(agenda_.now() + wait, [this, index, statement] { timed_out(index, statement); });
         state(index, statement, true);
     }
@@ -177,7 +178,7 @@
         send(index, [this, index, statement, answer] {
             if (silent()) return;
             HeldCount held = holder_.state(agenda_.now(), statement);
-            if (sabotage_ == Sabotage::never_counted) held.others = 0;
+            if (defect_ == InjectedDefect::never_counted) held.others = 0;
             if (answer) send(index, [this, index, statement, held] { answered(index, statement, held); });
         });
     }
@@ -211,7 +212,7 @@
 
     const Plan& plan_;
     std::mt19937_64 random_;
-    Sabotage sabotage_;
+    InjectedDefect defect_;
     Agenda agenda_;
     CountHolder holder_;
     std::vector<Gateway> gateways_;
@@ -222,8 +223,8 @@
 
 }  // namespace
 
-ScheduleResult play(const Plan& plan, std::uint64_t seed, Sabotage sabotage) {
-    return Schedule(plan, seed, sabotage).run();
+ScheduleResult play(const Plan& plan, std::uint64_t seed, InjectedDefect defect) {
+    return Schedule(plan, seed, defect).run();
 }
 
 std::size_t most_in_a_span(const std::vector<TimePoint>& admitted) {
--- a/tests/quota/schedule.h
+++ b/tests/quota/schedule.h
@@ -35,7 +35,7 @@
 };
 
 // Faults injected into the checked code, to show that the check detects them.
-enum class Sabotage : std::uint8_t {
+enum class InjectedDefect : std::uint8_t {
     none,
     whole_bucket,   // a local bucket holds the whole quota
     never_counted,  // the holder answers that the others have admitted nothing
@@ -92,7 +92,7 @@
     std::vector<TenantResult> tenants;  // as in the plan
 };
 
-ScheduleResult play(const Plan& plan, std::uint64_t seed, Sabotage sabotage = Sabotage::none);
+ScheduleResult play(const Plan& plan, std::uint64_t seed, InjectedDefect defect = InjectedDefect::none);
 
 // The most requests admitted in any span of the rules' length.
 std::size_t most_in_a_span(const std::vector<TimePoint>& admitted);
--- a/tests/quota/schedules.cpp
+++ b/tests/quota/schedules.cpp
@@ -19,9 +19,9 @@
 // Kinds whose derived bound is that of the rules: the holder answers, and no gateway is cut off from it.
 bool keeps_the_rule(Kind kind) { return kind == Kind::calm || kind == Kind::gateway_restart; }
 
-bool some_schedule_breaks(Sabotage sabotage) {
+bool any_schedule_violates(InjectedDefect defect) {
     for (std::uint64_t seed = 0; seed < 100; ++seed) {
-        const ScheduleResult result = play(draw_plan(seed), seed, sabotage);
+        const ScheduleResult result = play(draw_plan(seed), seed, defect);
         for (std::size_t tenant = 0; tenant < result.tenants.size(); ++tenant) {
             if (measure(result, tenant).of_derived > 1) return true;
         }
@@ -80,11 +80,11 @@
 }
 
 TEST_CASE("the check detects local buckets of the complete quota") {
-    CHECK(some_schedule_breaks(Sabotage::whole_bucket));
+    CHECK(any_schedule_violates(InjectedDefect::whole_bucket));
 }
 
 TEST_CASE("the check detects a holder that counts nothing") {
-    CHECK(some_schedule_breaks(Sabotage::never_counted));
+    CHECK(any_schedule_violates(InjectedDefect::never_counted));
 }
 
 }  // namespace
